--- a/crates/dispatch/src/membership/digest.rs
+++ b/crates/dispatch/src/membership/digest.rs
@@ -1,60 +1,61 @@
-//! Sums of the members that a router knows, by which two routers find what they know unequally.
+//! XOR digests of the known members, with which two routers find the differences between their
+//! views.
 //!
-//! Members fall into parts by their addresses; the sum of a part doesn't depend on the
-//! order in which they came. One sum over all goes with each packet, those of the parts
-//! with a pull, so that only parts that differ are sent.
+//! Members are assigned to buckets by the hash of their address; the hash of a bucket doesn't
+//! depend on the order of insertion. Each packet carries one digest over all buckets, a pull
+//! carries the hash of each bucket, so that only buckets that differ are sent.
 
 use xxhash_rust::xxh64::xxh64;
 
 use crate::member::Card;
 
-/// Parts: at 300 members some ten in each, a third of a kilobyte.
-const PARTS: u8 = 32;
+/// Number of buckets; at 300 members each holds about ten, a third of a kilobyte.
+const BUCKETS: u8 = 32;
 
-/// Sums by part.
+/// Hash of each bucket.
 #[derive(Clone, Debug)]
 pub(super) struct Digest {
-    parts: [u32; PARTS as usize],
+    buckets: [u32; BUCKETS as usize],
 }
 
 impl Digest {
-    /// The sum of nobody.
+    /// The digest of an empty view.
     pub(super) fn new() -> Self {
         Self {
-            parts: [0; PARTS as usize],
+            buckets: [0; BUCKETS as usize],
         }
     }
 
-    /// A member came or went.
-    pub(super) fn flip(&mut self, card: &Card) {
+    /// Adds or removes a member.
+    pub(super) fn toggle(&mut self, card: &Card) {
         let seed = u64::from(card.address.port());
         let hash = xxh64(&card.peer.0.to_le_bytes(), seed);
         let [a, b, c, d, ..] = hash.to_le_bytes();
-        self.parts[usize::from(part(card))] ^= u32::from_le_bytes([a, b, c, d]);
+        self.buckets[usize::from(bucket(card))] ^= u32::from_le_bytes([a, b, c, d]);
     }
 
-    /// The sum over all parts.
-    pub(super) fn sum(&self) -> u32 {
-        // Rotated, so that equal changes of two parts don't cancel.
-        let parts = self.parts.iter();
-        parts.fold(0, |sum: u32, part| sum.rotate_left(1) ^ part)
+    /// The digest over all buckets.
+    pub(super) fn combined(&self) -> u32 {
+        // Rotated, so that equal changes of two buckets don't cancel.
+        let buckets = self.buckets.iter();
+        buckets.fold(0, |sum: u32, bucket| sum.rotate_left(1) ^ bucket)
     }
 
-    /// The sums of the parts.
-    pub(super) fn parts(&self) -> Vec<u32> {
-        self.parts.to_vec()
+    /// The hash of each bucket.
+    pub(super) fn buckets(&self) -> Vec<u32> {
+        self.buckets.to_vec()
     }
 
-    /// The parts that differ from another router's sums.
+    /// The buckets whose hashes differ from those of another router.
     pub(super) fn differing(&self, sums: &[u32]) -> Vec<u8> {
-        let parts = (0u8..).zip(&self.parts);
-        let differing = parts.filter(|(part, sum)| sums.get(usize::from(*part)) != Some(sum));
-        differing.map(|(part, _)| part).collect()
+        let buckets = (0u8..).zip(&self.buckets);
+        let differing = buckets.filter(|(bucket, sum)| sums.get(usize::from(*bucket)) != Some(sum));
+        differing.map(|(bucket, _)| bucket).collect()
     }
 }
 
-/// The part that a member belongs to, by its address.
-pub(super) fn part(card: &Card) -> u8 {
+/// The bucket of a member, by its address.
+pub(super) fn bucket(card: &Card) -> u8 {
     let hash = xxh64(card.address.to_string().as_bytes(), 0);
-    u8::try_from(hash % u64::from(PARTS)).unwrap_or_default()
+    u8::try_from(hash % u64::from(BUCKETS)).unwrap_or_default()
 }
--- a/crates/dispatch/src/membership/mod.rs
+++ b/crates/dispatch/src/membership/mod.rs
@@ -1,22 +1,24 @@
-//! Who is alive: probes, suspicion and news between routers.
+//! Membership and failure detection: probes, suspicion and gossip between routers.
 //!
-//! Each interval a router probes one other, in an order drawn anew for each turn. One
-//! that doesn't answer is probed again, also by a few others, as only the way between
-//! two routers may be cut. If none gets an answer it is suspected, and ended if it
-//! doesn't say otherwise in time: a router that learns that it is suspected or counted
-//! as ended speaks anew of itself under a higher incarnation. What a router learns goes
-//! along with whatever it sends. Sums of what the sender knows go with each packet; a
-//! router that keeps seeing other sums than its own pulls the parts that differ.
+//! In each interval a router probes one other router, in an order that is shuffled anew for each
+//! round. A router that doesn't answer is probed again, also through a few others, as only the path
+//! between two routers may be cut. If none of them gets an answer, it is suspected, and counts as
+//! ended unless it refutes the suspicion in time: a router that learns that it is suspected or
+//! counted as ended announces itself under a higher incarnation. Updates are piggybacked on all
+//! packets. Each packet carries a digest of the sender's view; a router whose own digest keeps
+//! differing pulls the buckets that differ.
 //!
-//! What is sent doesn't grow with the fleet, but for the pulls of a router that has just
-//! started; a death is known everywhere after the time of a probe and a suspicion, and a
-//! time that grows with the logarithm of the fleet's size. The scheme is SWIM (Das, Gupta,
-//! Motivala, 2002) with suspicion, refutation, and pulls by sums in place of its joins.
+//! The size of messages doesn't depend on the size of the fleet, except for the pulls of a router
+//! that has just started. The end of a router is known everywhere after a probe time-out, a
+//! suspicion time-out, and a delay that grows with the logarithm of the fleet's size. The protocol
+//! is SWIM (Das, Gupta, Motivala, 2002) with suspicion and refutation, and with digest-based pulls
+//! in place of its joins.
 //!
-//! Times are since this router's start. Nothing here sends: packets are returned.
+//! Times are relative to the start of this router. This module does no I/O: packets to be sent are
+//! returned.
 
+mod broadcast;
 mod digest;
-mod news;
 mod probe;
 mod receive;
 mod tick;
@@ -28,36 +30,36 @@
 
 use crate::member::{Card, Condition};
 use crate::usage::Peer;
+use broadcast::Queue;
 use digest::Digest;
-use news::News;
-use probe::{Draws, Probe, Relayed, Ring};
+use probe::{Probe, Random, Relay, Schedule};
 pub use update::{Change, Kind, Outgoing, Packet, Status, Update};
 
-/// Intervals for which a router is suspected before it counts as ended: 1 s at ten probes a
-/// second, in which the suspicion is to reach it and its answer to reach all; a newcomer is known to
-/// all of 600 after 0.26 to 0.52 s under virtual time.
-const SUSPICION: u32 = 10;
+/// Probe intervals from suspicion to end: 1 s at ten probes a second, in which the suspicion has to
+/// reach the router and its refutation all others. Under virtual time a newcomer is known to all of
+/// 600 routers after 0.26 to 0.52 s.
+const SUSPICION_INTERVALS: u32 = 10;
 
-/// How long it is remembered that a router has ended, and its address tried now and then: longer
-/// than failure domains are usually cut off from each other.
-const REMEMBERED: Duration = Duration::from_mins(2);
+/// How long a tombstone is kept, and its address retried now and then: longer than network
+/// partitions between failure domains usually last.
+const TOMBSTONE_RETENTION: Duration = Duration::from_mins(2);
 
-/// Intervals without a packet from anyone after which a router takes itself to have been cut off.
-const ALONE: u32 = 10;
+/// Probe intervals without a packet after which a router considers itself isolated.
+const ISOLATION_INTERVALS: u32 = 10;
 
-/// Routers remembered so at the most: 100 KB.
-const REMEMBERED_MOST: usize = 1_024;
+/// Limit on the number of tombstones, about 100 KB.
+const MAX_TOMBSTONES: usize = 1_024;
 
-/// Members in a packet that answers a pull: about a kilobyte.
-const PAGE: usize = 32;
+/// Members after which a page of an answer to a pull is closed, about a kilobyte.
+const PAGE_MEMBERS: usize = 32;
 
 #[derive(Clone, Debug)]
 struct Record {
     update: Update,
-    /// When it counts as ended, while it is suspected.
+    /// When it counts as ended, if it is suspected.
     suspected_until: Duration,
-    /// Whether this router itself has found it silent.
-    accused: bool,
+    /// Whether a probe of this router itself timed out.
+    suspected_locally: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -66,122 +68,124 @@
     at: Duration,
 }
 
-/// What came of a packet or a moment.
+/// Results of a packet or a tick.
 #[derive(Clone, Debug, Default)]
 pub struct Effects {
     /// Packets to be sent.
     pub outgoing: Vec<Outgoing>,
-    /// What changed in who is alive.
+    /// Changes of the membership.
     pub changes: Vec<Change>,
-    /// Routers that a probe of this one got no answer from in time.
+    /// Routers that did not answer a probe of this router in time.
     pub missed: Vec<SocketAddr>,
-    /// How long routers took to answer a probe that was sent once.
+    /// Round-trip times of probes that were sent only once.
     pub answered: Vec<(SocketAddr, Duration)>,
 }
 
-/// The routers that are alive, as far as this one knows.
+/// This router's view of the routers that are alive.
 #[derive(Clone, Debug)]
 pub struct Membership {
     own: Update,
     seeds: Vec<SocketAddr>,
     interval: Duration,
-    // Ordered, so that what follows from them is the same each time.
-    known: BTreeMap<SocketAddr, Record>,
-    ended: BTreeMap<Peer, Tombstone>,
+    // Ordered, so that iteration is deterministic.
+    members: BTreeMap<SocketAddr, Record>,
+    tombstones: BTreeMap<Peer, Tombstone>,
     digest: Digest,
-    news: News,
-    ring: Ring,
-    draws: Draws,
+    broadcasts: Queue,
+    schedule: Schedule,
+    random: Random,
     probes: Vec<Probe>,
-    relayed: Vec<Relayed>,
-    /// Members that are to be probed before their turn.
-    urgent: VecDeque<SocketAddr>,
-    /// Addresses at which two starts were told of; only an answer tells which one runs.
-    doubted: Vec<SocketAddr>,
+    relays: Vec<Relay>,
+    /// Members to be probed ahead of the schedule.
+    priority: VecDeque<SocketAddr>,
+    /// Addresses for which two incarnations of a router were reported; they are probed to find out
+    /// which one runs.
+    conflicting: Vec<SocketAddr>,
     ticks: u64,
-    /// Packets in a row whose sums were others than this router's.
-    differing: u32,
-    pulled: Option<Duration>,
-    /// When the last packet came.
-    heard: Duration,
+    /// Consecutive packets whose digest differed from this router's.
+    mismatches: u32,
+    last_pull: Option<Duration>,
+    /// When the last packet arrived.
+    last_packet: Duration,
 }
 
 impl Membership {
-    /// A router that knows only where to ask first; it probes one other each `interval`.
+    /// A router that knows only its seeds; it probes one other router each `interval`.
     #[must_use]
     pub fn new(own: Card, seeds: &[SocketAddr], interval: Duration) -> Self {
         let seeds = seeds.iter().filter(|it| **it != own.address);
         let mut digest = Digest::new();
-        digest.flip(&own);
+        digest.toggle(&own);
         Self {
-            draws: Draws::new(own.peer),
+            random: Random::new(own.peer),
             seeds: seeds.copied().collect(),
             own: Update::new(own),
             interval,
-            known: BTreeMap::new(),
-            ended: BTreeMap::new(),
+            members: BTreeMap::new(),
+            tombstones: BTreeMap::new(),
             digest,
-            news: News::default(),
-            ring: Ring::default(),
+            broadcasts: Queue::default(),
+            schedule: Schedule::default(),
             probes: Vec::new(),
-            relayed: Vec::new(),
-            urgent: VecDeque::new(),
-            doubted: Vec::new(),
+            relays: Vec::new(),
+            priority: VecDeque::new(),
+            conflicting: Vec::new(),
             ticks: 0,
-            differing: 0,
-            pulled: None,
-            heard: Duration::ZERO,
+            mismatches: 0,
+            last_pull: None,
+            last_packet: Duration::ZERO,
         }
     }
 
-    /// Says of this router whether it may own cells.
+    /// Sets and announces whether this router may own cells.
     pub fn set_condition(&mut self, condition: Condition) {
         if self.own.condition != condition {
             self.own.condition = condition;
-            self.announce(self.own.incarnation);
+            self.raise_incarnation(self.own.incarnation);
         }
     }
 
-    /// Speaks of this router under an incarnation above one that was told of it.
-    fn announce(&mut self, told: u32) {
-        self.own.incarnation = told.max(self.own.incarnation) + 1;
-        self.news.push(self.own.clone());
+    /// Announces this router under an incarnation higher than one that was reported.
+    fn raise_incarnation(&mut self, reported: u32) {
+        self.own.incarnation = reported.max(self.own.incarnation) + 1;
+        self.broadcasts.push(self.own.clone());
     }
 
-    /// Whether this router has heard nobody for long: it is cut off, or the others have ended.
+    /// Whether no packet has arrived for [`ISOLATION_INTERVALS`]: this router is cut off, or all
+    /// others have ended.
     #[must_use]
     pub fn hears_nobody(&self, now: Duration) -> bool {
-        now.saturating_sub(self.heard) >= self.interval * ALONE
+        now.saturating_sub(self.last_packet) >= self.interval * ISOLATION_INTERVALS
     }
 
-    /// Other routers that are taken to be alive.
+    /// Other routers that count as alive.
     pub fn others(&self) -> impl Iterator<Item = &Card> {
-        self.known.values().map(|it| &it.update.card)
+        self.members.values().map(|it| &it.update.card)
     }
 
-    /// Up to `count` other routers, drawn anew each time.
+    /// Up to `count` other routers, drawn at random.
     pub fn some(&mut self, count: usize) -> Vec<SocketAddr> {
-        self.ring.some(count, None, &mut self.draws)
+        self.schedule.sample(count, None, &mut self.random)
     }
 
-    /// A packet that only brings news.
+    /// A packet that only carries updates.
     pub fn news(&mut self) -> Packet {
         self.packet(Kind::News)
     }
 
-    /// A packet with news.
+    /// A packet with piggybacked updates.
     fn packet(&mut self, kind: Kind) -> Packet {
         Packet {
-            news: self.news.take(self.known.len() + 1),
-            ..self.bare(kind)
+            news: self.broadcasts.take(self.members.len() + 1),
+            ..self.packet_without_updates(kind)
         }
     }
 
-    /// A packet without news, for whom they would be lost on.
-    fn bare(&self, kind: Kind) -> Packet {
+    /// A packet without updates, for receivers on which piggybacked updates would be wasted.
+    fn packet_without_updates(&self, kind: Kind) -> Packet {
         Packet {
             sender: self.own.clone(),
-            digest: self.digest.sum(),
+            digest: self.digest.combined(),
             kind,
             news: Vec::new(),
         }
@@ -192,43 +196,43 @@
         Outgoing { to, packet }
     }
 
-    /// A router is new.
+    /// Adds a new router.
     fn insert(&mut self, update: Update, effects: &mut Effects) {
-        self.digest.flip(&update.card);
-        self.ring.insert(update.card.address, &mut self.draws);
+        self.digest.toggle(&update.card);
+        self.schedule.insert(update.card.address, &mut self.random);
         effects
             .changes
             .push(Change::Heard(update.card.clone(), update.condition));
         let record = Record {
             suspected_until: Duration::ZERO,
-            accused: false,
+            suspected_locally: false,
             update,
         };
-        self.known.insert(record.update.card.address, record);
+        self.members.insert(record.update.card.address, record);
     }
 
-    /// A router has ended; it is remembered, so that no older update brings it back.
-    fn end(&mut self, address: SocketAddr, now: Duration, effects: &mut Effects) {
-        let Some(record) = self.known.remove(&address) else {
+    /// Removes a router and adds a tombstone, so that no older update brings it back.
+    fn mark_ended(&mut self, address: SocketAddr, now: Duration, effects: &mut Effects) {
+        let Some(record) = self.members.remove(&address) else {
             return;
         };
-        self.digest.flip(&record.update.card);
-        self.ring.remove(address);
+        self.digest.toggle(&record.update.card);
+        self.schedule.remove(address);
         self.probes.retain(|it| it.target != address);
         let update = record.update.with_status(Status::Ended);
-        self.remember(update.clone(), now);
-        self.news.push(update);
+        self.add_tombstone(update.clone(), now);
+        self.broadcasts.push(update);
         effects.changes.push(Change::Lost(record.update.card));
     }
 
-    fn remember(&mut self, update: Update, now: Duration) {
-        if self.ended.len() >= REMEMBERED_MOST {
-            let oldest = self.ended.iter().min_by_key(|(_, it)| it.at);
+    fn add_tombstone(&mut self, update: Update, now: Duration) {
+        if self.tombstones.len() >= MAX_TOMBSTONES {
+            let oldest = self.tombstones.iter().min_by_key(|(_, it)| it.at);
             if let Some(peer) = oldest.map(|(peer, _)| *peer) {
-                self.ended.remove(&peer);
+                self.tombstones.remove(&peer);
             }
         }
         let peer = update.card.peer;
-        self.ended.insert(peer, Tombstone { update, at: now });
+        self.tombstones.insert(peer, Tombstone { update, at: now });
     }
 }
--- a/crates/dispatch/src/membership/probe.rs
+++ b/crates/dispatch/src/membership/probe.rs
@@ -1,7 +1,7 @@
-//! Probes that wait for an answer, and the order in which members are probed.
+//! Pending probes, and the order in which members are probed.
 //!
-//! Each member is probed once before any is probed again, in an order drawn anew for
-//! each turn, so that two routers seldom probe the same one at once.
+//! Each member is probed once per round, in an order that is shuffled anew for each round, so that
+//! two routers seldom probe the same member at once.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,25 +10,25 @@
 
 use crate::usage::Peer;
 
-/// Intervals after which a probe is sent once more, by this router and by others: 0.2 s at ten
-/// probes a second, longer than a machine may stand still that has used up its part of a tenth
-/// of a second.
-const DIRECT: u32 = 2;
+/// Probe intervals after which a probe is repeated, directly and through relays: 0.2 s at ten
+/// probes a second, longer than a process is suspended once it has used up its CPU quota for a
+/// period of 0.1 s.
+const RETRY_INTERVALS: u32 = 2;
 
-/// Intervals after which a router that nobody got an answer from is suspected.
-const LIMIT: u32 = 5;
+/// Probe intervals without any answer after which a router is suspected.
+const SUSPECT_INTERVALS: u32 = 5;
 
-/// Intervals for which a probe on another's behalf is remembered.
-const RELAYED: u32 = 5;
+/// Probe intervals after which a relayed probe is dropped.
+const RELAY_TIMEOUT_INTERVALS: u32 = 5;
 
-/// Draws numbers in an order that follows from a router's identity.
+/// Deterministic pseudo-random numbers, seeded by a router's identity.
 #[derive(Clone, Debug)]
-pub(super) struct Draws {
+pub(super) struct Random {
     seed: u64,
     count: u64,
 }
 
-impl Draws {
+impl Random {
     pub(super) fn new(peer: Peer) -> Self {
         Self {
             seed: peer.0,
@@ -36,16 +36,16 @@
         }
     }
 
-    /// A number below `end`; 0 if that is 0.
+    /// A number below `end`; 0 if `end` is 0.
     pub(super) fn below(&mut self, end: usize) -> usize {
         self.count += 1;
-        let drawn = xxh64(&self.count.to_le_bytes(), self.seed);
+        let value = xxh64(&self.count.to_le_bytes(), self.seed);
         let end = u64::try_from(end.max(1)).unwrap_or(1);
-        usize::try_from(drawn % end).unwrap_or_default()
+        usize::try_from(value % end).unwrap_or_default()
     }
 
-    /// A number that is spread over all values.
-    pub(super) fn number(&mut self) -> u64 {
+    /// A number spread over all values.
+    pub(super) fn next_u64(&mut self) -> u64 {
         self.count += 1;
         xxh64(&self.count.to_le_bytes(), self.seed)
     }
@@ -53,35 +53,34 @@
 
 /// The order in which members are probed.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Ring {
+pub(super) struct Schedule {
     order: Vec<SocketAddr>,
     next: usize,
 }
 
-impl Ring {
-    /// A member came: it gets a place drawn from the rest of the turn.
-    pub(super) fn insert(&mut self, address: SocketAddr, draws: &mut Draws) {
+impl Schedule {
+    /// Adds a member at a random position in the rest of the round.
+    pub(super) fn insert(&mut self, address: SocketAddr, random: &mut Random) {
         let rest = self.order.len() + 1 - self.next;
-        let place = self.next + draws.below(rest);
-        self.order.insert(place, address);
+        let index = self.next + random.below(rest);
+        self.order.insert(index, address);
     }
 
-    /// A member went.
     pub(super) fn remove(&mut self, address: SocketAddr) {
-        if let Some(place) = self.order.iter().position(|it| *it == address) {
-            self.order.remove(place);
-            if place < self.next {
+        if let Some(index) = self.order.iter().position(|it| *it == address) {
+            self.order.remove(index);
+            if index < self.next {
                 self.next -= 1;
             }
         }
     }
 
     /// The next member to probe.
-    pub(super) fn next(&mut self, draws: &mut Draws) -> Option<SocketAddr> {
+    pub(super) fn next(&mut self, random: &mut Random) -> Option<SocketAddr> {
         if self.next >= self.order.len() {
             self.next = 0;
-            for place in (1..self.order.len()).rev() {
-                self.order.swap(place, draws.below(place + 1));
+            for index in (1..self.order.len()).rev() {
+                self.order.swap(index, random.below(index + 1));
             }
         }
         let address = self.order.get(self.next).copied()?;
@@ -89,21 +88,21 @@
         Some(address)
     }
 
-    /// Up to `count` members other than `not`, each at most once.
-    pub(super) fn some(
+    /// Up to `count` distinct members other than `exclude`.
+    pub(super) fn sample(
         &self,
         count: usize,
-        not: Option<SocketAddr>,
-        draws: &mut Draws,
+        exclude: Option<SocketAddr>,
+        random: &mut Random,
     ) -> Vec<SocketAddr> {
-        let from = draws.below(self.order.len());
-        // Far from each other in the order, so that the same ones don't come together again.
+        let from = random.below(self.order.len());
+        // Spread over the order, so that the same members aren't drawn together again.
         let stride = self.order.len() / count.max(1);
         let mut some = Vec::with_capacity(count);
         for step in 0..self.order.len().min(count) {
-            let place = (from + step * stride.max(1)) % self.order.len();
-            let address = self.order[place];
-            if Some(address) != not {
+            let index = (from + step * stride.max(1)) % self.order.len();
+            let address = self.order[index];
+            if Some(address) != exclude {
                 some.push(address);
             }
         }
@@ -111,22 +110,22 @@
     }
 }
 
-/// A probe that waits for its answer.
+/// A probe that awaits its answer.
 #[derive(Clone, Debug)]
 pub(super) struct Probe {
     pub(super) number: u64,
     pub(super) target: SocketAddr,
     pub(super) sent: Duration,
-    /// Whether it was sent once more.
-    again: bool,
+    /// Whether the probe was sent a second time.
+    retried: bool,
 }
 
-/// What is due for a probe.
+/// Next step for a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Due {
-    /// To be sent once more, and by others.
-    Again,
-    /// Its router is suspected.
+pub(super) enum Action {
+    /// Repeat it, directly and through relays.
+    Retry,
+    /// Suspect the probed router.
     Suspect,
 }
 
@@ -136,44 +135,44 @@
             number,
             target,
             sent: now,
-            again: false,
+            retried: false,
         }
     }
 
-    /// How long its answer took, unless it was sent again and either may have been answered.
-    pub(super) fn time_of_answer(&self, now: Duration) -> Option<Duration> {
-        (!self.again).then(|| now.saturating_sub(self.sent))
+    /// The round-trip time; none if the probe was repeated, as either may have been answered.
+    pub(super) fn round_trip(&self, now: Duration) -> Option<Duration> {
+        (!self.retried).then(|| now.saturating_sub(self.sent))
     }
 
-    /// What is due, once for each.
-    pub(super) fn due(&mut self, interval: Duration, now: Duration) -> Option<Due> {
+    /// The next step that is due; each is returned once.
+    pub(super) fn next_action(&mut self, interval: Duration, now: Duration) -> Option<Action> {
         let waited = now.saturating_sub(self.sent);
-        if waited >= interval * LIMIT {
-            return Some(Due::Suspect);
+        if waited >= interval * SUSPECT_INTERVALS {
+            return Some(Action::Suspect);
         }
-        if waited >= interval * DIRECT && !self.again {
-            self.again = true;
-            return Some(Due::Again);
+        if waited >= interval * RETRY_INTERVALS && !self.retried {
+            self.retried = true;
+            return Some(Action::Retry);
         }
         None
     }
 }
 
-/// A probe sent on another router's behalf.
+/// A probe sent on behalf of another router.
 #[derive(Clone, Debug)]
-pub(super) struct Relayed {
-    /// Its number here.
+pub(super) struct Relay {
+    /// Number of the probe at this router.
     pub(super) number: u64,
-    /// Who asked for it.
+    /// The router that requested it.
     pub(super) origin: SocketAddr,
-    /// Its number there.
+    /// Number of the probe at the origin.
     pub(super) origin_number: u64,
     pub(super) sent: Duration,
 }
 
-impl Relayed {
-    /// Whether its answer comes too late.
-    pub(super) fn over(&self, interval: Duration, now: Duration) -> bool {
-        now.saturating_sub(self.sent) >= interval * RELAYED
+impl Relay {
+    /// Whether an answer would come too late.
+    pub(super) fn is_expired(&self, interval: Duration, now: Duration) -> bool {
+        now.saturating_sub(self.sent) >= interval * RELAY_TIMEOUT_INTERVALS
     }
 }
--- a/crates/dispatch/src/membership/tick.rs
+++ b/crates/dispatch/src/membership/tick.rs
@@ -1,80 +1,82 @@
-//! What follows from the time.
+//! Timers: probes, retries, suspicions and joins.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::probe::{Due, Probe};
+use super::probe::{Action, Probe};
 use super::update::{Kind, Outgoing, Status};
-use super::{Effects, Membership, REMEMBERED, SUSPICION};
+use super::{Effects, Membership, SUSPICION_INTERVALS, TOMBSTONE_RETENTION};
 
-/// Routers that are asked to probe one that didn't answer.
-const RELAYS: usize = 3;
+/// Routers that are asked to relay a probe.
+const RELAY_COUNT: usize = 3;
 
-/// Members that are probed before their turn in one interval at the most.
-const URGENT: usize = 8;
+/// Limit on probes ahead of the schedule in one interval.
+const MAX_PRIORITY_PROBES: usize = 8;
 
-/// Intervals without a packet from anyone after which a router passes nothing on: with twenty
-/// packets a second, one loses ten in a row only if it is cut off or the others have ended.
-const SILENT: u32 = 5;
+/// Probe intervals without a packet after which pending updates are dropped: at twenty packets a
+/// second a router loses ten in a row only if it is cut off or the others have ended.
+const SILENCE_INTERVALS: u32 = 5;
 
-/// Intervals after which unknown seeds and a router that has ended are tried again.
-const TRIED: u64 = 10;
+/// Probe intervals between attempts to reach unknown seeds and a router that has ended.
+const RECONNECT_INTERVALS: u64 = 10;
 
-/// Intervals after the start at which seeds are asked for members: the others that start at the
-/// same time, within 0.3 s, are known to them by the second.
-const JOINS: [u64; 5] = [1, 3, 5, 8, 12];
+/// Probe intervals after the start at which seeds are pulled from: by the second, other routers
+/// that started at the same time, within 0.3 s, are known to the seeds.
+const JOIN_TICKS: [u64; 5] = [1, 3, 5, 8, 12];
 
 impl Membership {
-    /// Does what is due; `late` is how late this moment comes, in which answers could not be taken.
+    /// Runs the timers that are due; `late` is the delay of this tick, in which no answers could be
+    /// received.
     pub fn tick(&mut self, now: Duration, late: Duration) -> Effects {
         let mut effects = Effects::default();
         self.ticks += 1;
-        self.news.tick();
-        if now.saturating_sub(self.heard) >= self.interval * SILENT {
-            // What a router that hears nobody says of others would only be heard once it is back.
-            self.news.clear();
+        self.broadcasts.tick();
+        if now.saturating_sub(self.last_packet) >= self.interval * SILENCE_INTERVALS {
+            // What an isolated router reports of others would reach them only once it is back.
+            self.broadcasts.clear();
         }
         if late > self.interval {
             self.extend_deadlines(late);
         }
-        self.expire(now, &mut effects);
-        self.end_suspects(now, &mut effects);
-        self.ask_suspects(&mut effects);
+        self.check_probes(now, &mut effects);
+        self.expire_suspects(now, &mut effects);
+        self.reprobe_suspects(&mut effects);
         self.probe_next(now, &mut effects);
-        self.probe_urgent(now, &mut effects);
-        self.verify(&mut effects);
+        self.probe_priority(now, &mut effects);
+        self.probe_conflicting(&mut effects);
         self.join(now, &mut effects);
-        if self.ticks.is_multiple_of(TRIED) {
-            self.try_again(now, &mut effects);
+        if self.ticks.is_multiple_of(RECONNECT_INTERVALS) {
+            self.reconnect(now, &mut effects);
         }
         effects
     }
 
-    /// This router stood still: what it waits for may wait in its socket.
+    /// Extends deadlines by the time that this router was suspended: answers may still wait in its
+    /// socket.
     fn extend_deadlines(&mut self, late: Duration) {
         for probe in &mut self.probes {
             probe.sent += late;
         }
-        for record in self.known.values_mut() {
+        for record in self.members.values_mut() {
             record.suspected_until += late;
         }
     }
 
-    fn expire(&mut self, now: Duration, effects: &mut Effects) {
+    fn check_probes(&mut self, now: Duration, effects: &mut Effects) {
         let interval = self.interval;
-        self.relayed.retain(|it| !it.over(interval, now));
+        self.relays.retain(|it| !it.is_expired(interval, now));
         let mut suspects = Vec::new();
-        let mut again = Vec::new();
+        let mut retries = Vec::new();
         for probe in &mut self.probes {
-            match probe.due(interval, now) {
-                Some(Due::Again) => again.push((probe.number, probe.target)),
-                Some(Due::Suspect) => suspects.push((probe.number, probe.target)),
+            match probe.next_action(interval, now) {
+                Some(Action::Retry) => retries.push((probe.number, probe.target)),
+                Some(Action::Suspect) => suspects.push((probe.number, probe.target)),
                 None => {}
             }
         }
-        for (number, target) in again {
+        for (number, target) in retries {
             effects.missed.push(target);
-            self.probe_again(number, target, effects);
+            self.retry_probe(number, target, effects);
         }
         for (number, target) in suspects {
             effects.missed.push(target);
@@ -83,10 +85,12 @@
         }
     }
 
-    fn probe_again(&mut self, number: u64, target: SocketAddr, effects: &mut Effects) {
-        let packet = self.bare(Kind::Probe(number));
+    fn retry_probe(&mut self, number: u64, target: SocketAddr, effects: &mut Effects) {
+        let packet = self.packet_without_updates(Kind::Probe(number));
         effects.outgoing.push(Outgoing { to: target, packet });
-        let relays = self.ring.some(RELAYS, Some(target), &mut self.draws);
+        let relays = self
+            .schedule
+            .sample(RELAY_COUNT, Some(target), &mut self.random);
         for relay in relays {
             let kind = Kind::Relay { number, target };
             effects.outgoing.push(self.outgoing(relay, kind));
@@ -94,48 +98,49 @@
     }
 
     fn suspect(&mut self, address: SocketAddr, now: Duration) {
-        let Some(record) = self.known.get_mut(&address) else {
+        let Some(record) = self.members.get_mut(&address) else {
             return;
         };
         if record.update.status == Status::Alive {
             record.update.status = Status::Suspect;
-            record.suspected_until = now + self.interval * SUSPICION;
-            record.accused = true;
-            self.news.push(record.update.clone());
+            record.suspected_until = now + self.interval * SUSPICION_INTERVALS;
+            record.suspected_locally = true;
+            self.broadcasts.push(record.update.clone());
         }
     }
 
-    /// Goes on probing those that this router itself suspects, and tells them of it: their answer
-    /// need not find its way through the fleet.
-    fn ask_suspects(&mut self, effects: &mut Effects) {
-        let records = self.known.values();
-        let accused = records.filter(|it| it.update.status == Status::Suspect && it.accused);
-        let accused: Vec<_> = accused.map(|it| it.update.clone()).collect();
-        for update in accused {
+    /// Continues to probe the routers that this router itself suspects, and tells them of the
+    /// suspicion, so that their refutation needn't reach it by gossip.
+    fn reprobe_suspects(&mut self, effects: &mut Effects) {
+        let records = self.members.values();
+        let suspected_locally =
+            records.filter(|it| it.update.status == Status::Suspect && it.suspected_locally);
+        let suspected_locally: Vec<_> = suspected_locally.map(|it| it.update.clone()).collect();
+        for update in suspected_locally {
             let to = update.card.address;
-            let number = self.draws.number();
-            let mut packet = self.bare(Kind::Probe(number));
+            let number = self.random.next_u64();
+            let mut packet = self.packet_without_updates(Kind::Probe(number));
             packet.news.push(update);
             effects.outgoing.push(Outgoing { to, packet });
         }
     }
 
-    fn end_suspects(&mut self, now: Duration, effects: &mut Effects) {
-        let records = self.known.iter();
-        let over = records
+    fn expire_suspects(&mut self, now: Duration, effects: &mut Effects) {
+        let records = self.members.iter();
+        let expired = records
             .filter(|(_, it)| it.update.status == Status::Suspect && now >= it.suspected_until);
-        let over: Vec<_> = over.map(|(address, _)| *address).collect();
-        for address in over {
-            self.end(address, now, effects);
+        let expired: Vec<_> = expired.map(|(address, _)| *address).collect();
+        for address in expired {
+            self.mark_ended(address, now, effects);
         }
-        self.ended
-            .retain(|_, it| now.saturating_sub(it.at) < REMEMBERED);
+        self.tombstones
+            .retain(|_, it| now.saturating_sub(it.at) < TOMBSTONE_RETENTION);
     }
 
     /// Probes the next member that isn't suspected already.
     fn probe_next(&mut self, now: Duration, effects: &mut Effects) {
-        for _ in 0..=self.known.len() {
-            let Some(target) = self.ring.next(&mut self.draws) else {
+        for _ in 0..=self.members.len() {
+            let Some(target) = self.schedule.next(&mut self.random) else {
                 return;
             };
             if self.probe(target, now, effects) {
@@ -144,26 +149,26 @@
         }
     }
 
-    /// Probes some of the members that others seem to know to have ended.
-    fn probe_urgent(&mut self, now: Duration, effects: &mut Effects) {
-        let mut left = URGENT;
-        while left > 0
-            && let Some(target) = self.urgent.pop_front()
+    /// Probes members that other routers may know to have ended.
+    fn probe_priority(&mut self, now: Duration, effects: &mut Effects) {
+        let mut remaining = MAX_PRIORITY_PROBES;
+        while remaining > 0
+            && let Some(target) = self.priority.pop_front()
         {
             if self.probe(target, now, effects) {
-                left -= 1;
+                remaining -= 1;
             }
         }
     }
 
-    /// Probes a member; false if it is suspected or being probed.
+    /// Probes a member; false if it is suspected or has a pending probe.
     fn probe(&mut self, target: SocketAddr, now: Duration, effects: &mut Effects) -> bool {
-        let record = self.known.get(&target);
-        let sound = record.is_some_and(|it| it.update.status == Status::Alive);
-        if !sound || self.probes.iter().any(|it| it.target == target) {
+        let record = self.members.get(&target);
+        let alive = record.is_some_and(|it| it.update.status == Status::Alive);
+        if !alive || self.probes.iter().any(|it| it.target == target) {
             return false;
         }
-        let number = self.draws.number();
+        let number = self.random.next_u64();
         self.probes.push(Probe::new(number, target, now));
         effects
             .outgoing
@@ -171,48 +176,48 @@
         true
     }
 
-    /// Asks who runs at addresses at which two starts were told of.
-    fn verify(&mut self, effects: &mut Effects) {
-        let mut doubted = std::mem::take(&mut self.doubted);
-        doubted.sort_unstable();
-        doubted.dedup();
-        for address in doubted {
-            let number = self.draws.number();
+    /// Probes addresses for which two incarnations of a router were reported.
+    fn probe_conflicting(&mut self, effects: &mut Effects) {
+        let mut conflicting = std::mem::take(&mut self.conflicting);
+        conflicting.sort_unstable();
+        conflicting.dedup();
+        for address in conflicting {
+            let number = self.random.next_u64();
             effects
                 .outgoing
                 .push(self.outgoing(address, Kind::Probe(number)));
         }
     }
 
-    /// Asks seeds for the members, all of them first and then one at a time.
+    /// Pulls from the seeds: from all of them first, then from one at a time.
     fn join(&mut self, now: Duration, effects: &mut Effects) {
-        if !JOINS.contains(&self.ticks) || self.seeds.is_empty() {
+        if !JOIN_TICKS.contains(&self.ticks) || self.seeds.is_empty() {
             return;
         }
-        let seeds = if self.ticks == JOINS[0] {
+        let seeds = if self.ticks == JOIN_TICKS[0] {
             self.seeds.clone()
         } else {
-            let drawn = self.draws.below(self.seeds.len());
-            vec![self.seeds[drawn]]
+            let value = self.random.below(self.seeds.len());
+            vec![self.seeds[value]]
         };
         for seed in seeds {
             effects.outgoing.push(self.pull(seed, now));
         }
     }
 
-    /// Tries seeds that are not known and a router that has ended: the way there may be open again.
-    fn try_again(&mut self, now: Duration, effects: &mut Effects) {
+    /// Contacts unknown seeds and a router that has ended: a network partition may be over.
+    fn reconnect(&mut self, now: Duration, effects: &mut Effects) {
         let seeds = self.seeds.iter().copied();
-        let unknown = seeds.filter(|it| !self.known.contains_key(it));
+        let unknown = seeds.filter(|it| !self.members.contains_key(it));
         for seed in unknown.collect::<Vec<_>>() {
             effects.outgoing.push(self.pull(seed, now));
         }
-        let ended = self.ended.values().map(|it| it.update.card.address);
-        let ended = ended.filter(|it| !self.known.contains_key(it));
+        let ended = self.tombstones.values().map(|it| it.update.card.address);
+        let ended = ended.filter(|it| !self.members.contains_key(it));
         let ended: Vec<_> = ended.filter(|it| !self.seeds.contains(it)).collect();
         if !ended.is_empty() {
-            let address = ended[self.draws.below(ended.len())];
-            let number = self.draws.number();
+            let address = ended[self.random.below(ended.len())];
+            let number = self.random.next_u64();
             effects
                 .outgoing
                 .push(self.outgoing(address, Kind::Probe(number)));
--- a/crates/dispatch/src/membership/update.rs
+++ b/crates/dispatch/src/membership/update.rs
@@ -1,9 +1,9 @@
-//! What routers tell each other of who is alive.
+//! Messages of the membership protocol.
 //!
-//! An update is about one start of one router. Of two updates about the same start the
-//! one with the higher incarnation holds; only that router itself raises it, to say
-//! something new of itself or that it is alive after all. With equal incarnations the
-//! graver one holds, so a suspicion can't be undone by an older update.
+//! An update is about one start of a router. Of two updates about the same start, the one with the
+//! higher incarnation overrides the other; only that router raises it, to announce a change or to
+//! refute a suspicion. At equal incarnations the graver status overrides, so that an older update
+//! can't undo a suspicion.
 
 use std::net::SocketAddr;
 
@@ -11,10 +11,10 @@
 
 use crate::member::{Card, Condition};
 
-/// Whether a router runs.
+/// Liveness of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Status {
-    /// It does.
+    /// It runs.
     Alive,
     /// It left probes unanswered.
     Suspect,
@@ -22,12 +22,12 @@
     Ended,
 }
 
-/// What is said of a router.
+/// State of a router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// The router.
     pub card: Card,
-    /// How often it has spoken anew of itself.
+    /// Number of times that it has announced a change or refuted a suspicion.
     pub incarnation: u32,
     /// Whether it may own cells.
     pub condition: Condition,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The same router, running or not.
+    /// A copy with another status.
     #[must_use]
     pub fn with_status(&self, status: Status) -> Self {
         Self {
@@ -56,49 +56,49 @@
         }
     }
 
-    /// Whether this holds against `other`, said of the same start.
+    /// Whether this update takes precedence over `other`, which is about the same start.
     #[must_use]
     pub fn overrides(&self, other: &Self) -> bool {
         (self.incarnation, self.status) > (other.incarnation, other.status)
     }
 }
 
-/// What a packet is for, beside the news in it.
+/// Purpose of a packet, besides the updates in it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
-    /// Asks for an answer with the same number.
+    /// Requests an answer with the same number.
     Probe(u64),
     /// Answers a probe.
     Ack(u64),
-    /// Asks the receiver to probe another router and to pass its answer on.
+    /// Requests the receiver to probe another router and to relay its answer.
     Relay {
         /// Number of the probe at the sender.
         number: u64,
         /// The router to be probed.
         target: SocketAddr,
     },
-    /// Only brings news.
+    /// Only carries updates.
     News,
-    /// Asks for the members of all parts whose sums differ from these.
+    /// Requests the members of all buckets whose hashes differ from these.
     Pull(Vec<u32>),
-    /// Answers that with all members of these parts, in place of news.
+    /// Answers a pull with all members of these buckets, in place of recent updates.
     Page(Vec<u8>),
 }
 
-/// A message on who is alive.
+/// A message of the membership protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packet {
-    /// What the sender says of itself.
+    /// The sender's own state.
     pub sender: Update,
-    /// Sum of the members that the sender knows.
+    /// Digest of the members that the sender knows.
     pub digest: u32,
-    /// What the packet is for.
+    /// Purpose of the packet.
     pub kind: Kind,
-    /// What the sender has learned lately.
+    /// Updates that the sender has recently received.
     pub news: Vec<Update>,
 }
 
-/// A packet and where it goes.
+/// A packet and its receiver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
     /// The receiver.
@@ -107,10 +107,10 @@
     pub packet: Packet,
 }
 
-/// What changed in who is alive.
+/// A change of the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A router is new, or says something new of itself.
+    /// A router is new, or its condition has changed.
     Heard(Card, Condition),
     /// A router has ended.
     Lost(Card),
