--- a/crates/dispatch/src/cell.rs
+++ b/crates/dispatch/src/cell.rs
@@ -1,10 +1,10 @@
-//! Cells: the targets of a service, cut into groups that one router can oversee.
+//! Cells: groups of the targets of a service, each small enough for one router to schedule.
 //!
-//! The targets of a service are cut region by region, as the way to an owner in another one takes
-//! longer than a request may wait. Those of a region are cut into cells of about equal size by
-//! rendezvous hashing, so that every router cuts alike without a word between them and a
-//! target that comes or ends moves few others. A prompt's prefix has its home in
-//! one cell of each region. The requests of a cell are placed by one router, its owner (see
+//! The targets of a service are divided by region, as the round trip to an owner in another region
+//! takes longer than a request may wait. The targets of a region are divided into cells of about
+//! equal size by rendezvous hashing, so that all routers arrive at the same cells without
+//! coordination and a target that is added or removed moves few others. Each prefix of a prompt has
+//! a home cell in each region. The requests of a cell are placed by one router, its owner (see
 //! [`crate::member`]).
 
 use serde::{Deserialize, Serialize};
@@ -14,20 +14,20 @@
 use crate::region::Region;
 use crate::target::Tag;
 
-/// Targets of a cell, about: the larger of two sizes that were measured on fleets of 90
-/// and 140 engines (`docs/design/cells.md`).
+/// Approximate number of targets in a cell; `docs/design/cells.md` compares two sizes on fleets of
+/// 90 and 140 engines, of which this is the larger.
 pub const TARGETS: usize = 48;
 
-/// Cells of a service in a region at the most: owners tell each other their customers, which grows
-/// with the square of the cells (`docs/CAPACITY.md`).
+/// Limit on the number of cells of a service in a region: owners report their customers to each
+/// other, and this traffic grows with the square of the number of cells (`docs/CAPACITY.md`).
 pub const MOST: u16 = 12;
 
-/// Short name of a service in messages.
+/// Hash of a service's name, for use in messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ServiceTag(pub u32);
 
 impl ServiceTag {
-    /// The short name of a service.
+    /// Hashes the name of a service.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
@@ -45,11 +45,11 @@
     pub service: ServiceTag,
     /// The region of its targets.
     pub region: Region,
-    /// Its number among the cells of the service in that region.
+    /// Its index among the cells of the service in that region.
     pub index: u16,
 }
 
-/// How many cells a service has in a region.
+/// Number of cells of a service in a region.
 #[must_use]
 pub fn count(targets: usize, per_cell: usize) -> u16 {
     let per_cell = per_cell.max(1);
@@ -57,14 +57,14 @@
     u16::try_from(cells).unwrap_or(u16::MAX).clamp(1, MOST)
 }
 
-/// The cell of a target among those of its region.
+/// Index of a target's cell among the `count` cells of its region.
 #[must_use]
 pub fn index(tag: Tag, count: u16) -> u16 {
     let weight = |cell: &u16| xxh64(&tag.0.to_le_bytes(), u64::from(*cell));
     (0..count).max_by_key(weight).unwrap_or_default()
 }
 
-/// The cell that is home to a prefix; a larger cell is home to more.
+/// Index of the home cell of a prefix; cells are chosen in proportion to their sizes.
 #[must_use]
 pub fn home(prefix: Prefix, sizes: &[usize]) -> Option<u16> {
     let numbered = (0u16..).zip(sizes).filter(|(_, size)| **size > 0);
@@ -77,7 +77,8 @@
     best.map(|(_, index)| index)
 }
 
-/// Score of a weighted rendezvous: the largest is chosen, in proportion to the weights.
+/// Score for weighted rendezvous hashing: the candidate with the largest score is chosen, in
+/// proportion to the weights.
 #[must_use]
 #[expect(clippy::cast_precision_loss, reason = "53 bits of the hash suffice")]
 pub fn score(hash: u64, weight: f64) -> f64 {
--- a/crates/dispatch/src/member.rs
+++ b/crates/dispatch/src/member.rs
@@ -1,11 +1,11 @@
-//! Which of the routers alive owns a cell or does a duty.
+//! Live routers, and which of them owns a cell or performs a duty.
 //!
-//! Who is alive is told by [`crate::membership`]. The owner of a cell is chosen by rendezvous hashing over the routers alive, with
-//! their processors' shares as weights, so routers mostly agree without a word. They
-//! need not: an owner that was not meant places requests as well, and what it does
-//! not know of is refused by the target as not run. A router that leaves requests
-//! unanswered is passed over for a while, longer each time. One that has just come
-//! is passed over until the others have had time to hear of it.
+//! [`crate::membership`] tells which routers are alive. The owner of a cell is chosen by rendezvous
+//! hashing over these routers, weighted by their CPU quotas, so routers usually agree without
+//! coordination. Agreement isn't required: an unintended owner places requests as well, and where
+//! it doesn't know of other work at a target, the target refuses its request as not run. A router
+//! that leaves requests unanswered is excluded for a while, longer each time. A newly discovered
+//! router is excluded until the others have had time to discover it, too.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -20,42 +20,42 @@
 use crate::region::{Region, Regions};
 use crate::usage::Peer;
 
-/// Time for which a router that has just been heard of owns nothing.
-const SETTLING: Duration = Duration::from_millis(1_500);
+/// Time after its discovery during which a router owns no cells.
+const SETTLING_TIME: Duration = Duration::from_millis(1_500);
 
-/// Requests in a row that a router leaves unanswered before it is passed over.
-const MISSES: u32 = 2;
+/// Consecutive unanswered requests after which a router is excluded.
+const MISS_THRESHOLD: u32 = 2;
 
-/// First time for which a router is passed over.
-const PASSED_FIRST: Duration = Duration::from_millis(500);
+/// Duration of a router's first exclusion.
+const INITIAL_EXCLUSION: Duration = Duration::from_millis(500);
 
-/// Doublings of that time at the most.
-const DOUBLINGS: u32 = 4;
+/// Limit on the number of times that the duration of an exclusion doubles.
+const MAX_EXCLUSION_DOUBLINGS: u32 = 4;
 
-/// What a router says of itself.
+/// Description of one start of a router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Card {
-    /// Where it takes messages.
+    /// Address at which it receives messages.
     pub address: SocketAddr,
-    /// Identity of its start.
+    /// Identity of this start.
     pub peer: Peer,
     /// Its failure domain.
     pub domain: Arc<str>,
-    /// Thousandths of a core that it has.
+    /// CPU quota in thousandths of a core.
     pub millicores: u32,
 }
 
-/// What a few routers do for all.
+/// Work that a few routers do on behalf of all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Duty {
-    /// Waits for the configuration at the store.
+    /// Watches the configuration in the store.
     Configuration,
-    /// Reads the list of targets at the store.
+    /// Reads the list of targets from the store.
     Targets,
 }
 
 impl Duty {
-    /// A cell that stands for it where routers are ranked.
+    /// A placeholder cell by which routers are ranked for this duty.
     fn cell(self) -> Cell {
         let (name, index) = match self {
             Self::Configuration => ("duty of configuration", 0),
@@ -69,57 +69,57 @@
     }
 }
 
-/// Among whom routers are ranked.
+/// The set of routers in a ranking.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     /// All routers.
     All,
-    /// Those of the same failure domain.
+    /// Routers of the same failure domain.
     Domain,
 }
 
 /// Whether a router may own cells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Condition {
-    /// It may.
+    /// Eligible.
     Sound,
-    /// It doesn't keep up with its callers.
+    /// Overloaded: doesn't keep up with its callers.
     Behind,
-    /// It is about to end.
+    /// Shutting down.
     Leaving,
 }
 
 #[derive(Clone, Debug)]
 struct Record {
     card: Card,
-    since: Duration,
+    discovered_at: Duration,
     condition: Condition,
     misses: u32,
-    passes: u32,
-    passed_until: Duration,
+    exclusions: u32,
+    excluded_until: Duration,
 }
 
-/// Routers that are known.
+/// The live routers.
 #[derive(Clone, Debug)]
 pub struct Members {
     own: Card,
     regions: Arc<Regions>,
     condition: Condition,
     known: HashMap<SocketAddr, Record>,
-    /// Owners found before, until anything changes.
+    /// Cached owners, cleared by every change.
     owners: RefCell<HashMap<Cell, Owner>>,
 }
 
-/// An owner found before.
+/// A cached owner.
 #[derive(Clone, Copy, Debug)]
 struct Owner {
     address: SocketAddr,
-    /// When a router has settled, or is no longer passed over, so that it may be another one.
-    until: Duration,
+    /// When another router may become eligible, as it has settled or its exclusion ends.
+    valid_until: Duration,
 }
 
 impl Members {
-    /// Only this router.
+    /// A view that holds only this router.
     #[must_use]
     pub fn new(own: Card) -> Self {
         Self {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Sets which failure domains lie near each other.
+    /// Sets the regions of the failure domains.
     #[must_use]
     pub fn with_regions(mut self, regions: Arc<Regions>) -> Self {
         self.regions = regions;
@@ -144,19 +144,19 @@
         &self.own
     }
 
-    /// This router is about to end: it owns nothing any more.
+    /// Marks this router as shutting down; it owns no cells any more.
     pub fn leave(&mut self) {
         self.condition = Condition::Leaving;
         self.owners.get_mut().clear();
     }
 
-    /// Whether this router may own cells.
+    /// The condition of this router.
     #[must_use]
     pub fn condition(&self) -> Condition {
         self.condition
     }
 
-    /// This router doesn't keep up, or does again.
+    /// Marks this router as overloaded, or as eligible again.
     pub fn set_behind(&mut self, behind: bool) {
         self.condition = match (self.condition, behind) {
             (Condition::Leaving, _) => Condition::Leaving,
@@ -166,7 +166,7 @@
         self.owners.get_mut().clear();
     }
 
-    /// A router is alive; true if it was not known.
+    /// Adds or updates a live router; true if it was not known.
     pub fn hear(&mut self, card: &Card, condition: Condition, now: Duration) -> bool {
         self.owners.get_mut().clear();
         let known = self.known.get_mut(&card.address);
@@ -176,17 +176,17 @@
         }
         let record = Record {
             card: card.clone(),
-            since: now,
+            discovered_at: now,
             condition,
             misses: 0,
-            passes: 0,
-            passed_until: Duration::ZERO,
+            exclusions: 0,
+            excluded_until: Duration::ZERO,
         };
         self.known.insert(card.address, record);
         true
     }
 
-    /// A start of a router has ended.
+    /// Removes a start of a router.
     pub fn remove(&mut self, card: &Card) {
         self.owners.get_mut().clear();
         let known = self.known.get(&card.address);
@@ -195,14 +195,14 @@
         }
     }
 
-    /// Whether a router is about to end.
+    /// Whether a router is shutting down.
     #[must_use]
     pub fn leaves(&self, address: SocketAddr) -> bool {
         let record = self.known.get(&address);
         record.is_some_and(|it| it.condition == Condition::Leaving)
     }
 
-    /// How many routers come before this one in a duty, of all or of its failure domain.
+    /// Number of routers that precede this one in a duty, among all or in its failure domain.
     #[must_use]
     pub fn rank(&self, duty: Duty, scope: Scope) -> usize {
         let own = score(&self.own, duty.cell());
@@ -213,19 +213,19 @@
         near.filter(|it| score(it, duty.cell()) > own).count()
     }
 
-    /// Other routers that are alive.
+    /// Other live routers.
     pub fn others(&self) -> impl Iterator<Item = &Card> {
         self.known.values().map(|it| &it.card)
     }
 
-    /// Where a start of a router that is alive listens.
+    /// Address of a live start of a router.
     #[must_use]
     pub fn address(&self, peer: Peer) -> Option<SocketAddr> {
         let card = self.others().find(|it| it.peer == peer);
         card.map(|it| it.address)
     }
 
-    /// The failure domain of a router that is alive.
+    /// The failure domain of a live router.
     #[must_use]
     pub fn domain(&self, address: SocketAddr) -> Option<Arc<str>> {
         let record = self.known.get(&address)?;
@@ -238,7 +238,7 @@
         self.known.contains_key(&address)
     }
 
-    /// Routers alive, this one included.
+    /// Number of live routers, including this one.
     #[must_use]
     pub fn count(&self) -> usize {
         self.known.len() + 1
@@ -247,40 +247,41 @@
     /// The router that places the requests of a cell.
     #[must_use]
     pub fn owner(&self, cell: Cell, now: Duration) -> SocketAddr {
-        let found = self.owners.borrow().get(&cell).copied();
-        if let Some(owner) = found.filter(|it| now < it.until) {
+        let cached = self.owners.borrow().get(&cell).copied();
+        if let Some(owner) = cached.filter(|it| now < it.valid_until) {
             return owner.address;
         }
         let owner = Owner {
-            address: self.find_owner(cell, now),
-            until: self.next_turn(now),
+            address: self.compute_owner(cell, now),
+            valid_until: self.next_eligibility_change(now),
         };
         self.owners.borrow_mut().insert(cell, owner);
         owner.address
     }
 
-    /// When a router will have settled or will no longer be passed over, the first of all.
-    fn next_turn(&self, now: Duration) -> Duration {
+    /// The earliest time at which a router will have settled or its exclusion will end.
+    fn next_eligibility_change(&self, now: Duration) -> Duration {
         let records = self.known.values();
-        let turns = records.flat_map(|it| [it.since + SETTLING, it.passed_until]);
-        let next = turns.filter(|it| *it > now).min();
+        let changes = records.flat_map(|it| [it.discovered_at + SETTLING_TIME, it.excluded_until]);
+        let next = changes.filter(|it| *it > now).min();
         next.unwrap_or(Duration::MAX)
     }
 
-    fn find_owner(&self, cell: Cell, now: Duration) -> SocketAddr {
-        let settled = |it: &&Record| now.saturating_sub(it.since) >= SETTLING;
-        let answering = self.known.values().filter(|it| now >= it.passed_until);
-        let any = self.known.values().any(|it| settled(&it));
-        let settled: Vec<_> = answering.filter(|it| !any || settled(it)).collect();
-        // Better a router that is behind than one that knows nothing of the cell.
+    fn compute_owner(&self, cell: Cell, now: Duration) -> SocketAddr {
+        let settled = |it: &&Record| now.saturating_sub(it.discovered_at) >= SETTLING_TIME;
+        let included = self.known.values().filter(|it| now >= it.excluded_until);
+        let any_settled = self.known.values().any(|it| settled(&it));
+        let settled: Vec<_> = included.filter(|it| !any_settled || settled(it)).collect();
+        // An overloaded router is preferred over one that knows nothing of the cell.
         for condition in [Condition::Sound, Condition::Behind] {
             let others = settled.iter().filter(|it| it.condition == condition);
             let own = (self.condition == condition).then_some(&self.own);
             let cards: Vec<_> = others.map(|it| &it.card).chain(own).collect();
-            // From another region it only stands in for a region that has no router.
+            // A router of another region is chosen only if the cell's region has none.
             let near = cards.iter().copied();
             let near = near.filter(|it| self.regions.of(&it.domain) == cell.region);
-            let best = best(near, cell).or_else(|| best(cards.iter().copied(), cell));
+            let best =
+                highest_score(near, cell).or_else(|| highest_score(cards.iter().copied(), cell));
             if let Some(best) = best {
                 return best.address;
             }
@@ -288,40 +289,41 @@
         self.own.address
     }
 
-    /// A router left a request unanswered; true if it is passed over from now on.
+    /// Records that a router left a request unanswered; true if it is excluded from now on.
     pub fn missed(&mut self, address: SocketAddr, now: Duration) -> bool {
         let Some(record) = self.known.get_mut(&address) else {
             return false;
         };
         record.misses += 1;
-        if record.misses < MISSES || now < record.passed_until {
+        if record.misses < MISS_THRESHOLD || now < record.excluded_until {
             return false;
         }
         record.misses = 0;
-        let time = PASSED_FIRST.saturating_mul(1 << record.passes.min(DOUBLINGS));
-        record.passes += 1;
-        record.passed_until = now + time;
+        let time =
+            INITIAL_EXCLUSION.saturating_mul(1 << record.exclusions.min(MAX_EXCLUSION_DOUBLINGS));
+        record.exclusions += 1;
+        record.excluded_until = now + time;
         self.owners.get_mut().clear();
         true
     }
 
-    /// A router answered a request.
+    /// Records that a router answered a request.
     pub fn answered(&mut self, address: SocketAddr) {
         if let Some(record) = self.known.get_mut(&address) {
             record.misses = 0;
-            record.passes = 0;
+            record.exclusions = 0;
         }
     }
 }
 
-/// The router that comes first as the owner of a cell.
-fn best<'a>(cards: impl Iterator<Item = &'a Card>, cell: Cell) -> Option<&'a Card> {
+/// The router with the highest score for a cell.
+fn highest_score<'a>(cards: impl Iterator<Item = &'a Card>, cell: Cell) -> Option<&'a Card> {
     cards.max_by(|a, b| score(a, cell).total_cmp(&score(b, cell)))
 }
 
-/// Score of a router as the owner of a cell. The work of an owner comes on top of that for
-/// callers, of whom a small machine gets as many as a large one, so the weight is the square
-/// of the processor's share.
+/// Score of a router as the owner of a cell. Small and large machines serve the same number of
+/// callers, and the work of an owner comes on top of that, so the weight is the square of the CPU
+/// quota.
 fn score(card: &Card, cell: Cell) -> f64 {
     let region = u64::from(cell.region.0) << 48;
     let seed = region | u64::from(cell.service.0) << 16 | u64::from(cell.index);
--- a/crates/dispatch/src/reach.rs
+++ b/crates/dispatch/src/reach.rs
@@ -1,32 +1,32 @@
-//! Failure domains that may be cut off from this router.
+//! Detection of network partitions between this router and failure domains.
 //!
-//! Routers of all domains probe each other. When probes into a domain go unanswered and
-//! no router of it has been heard since, the way there may be cut. The
-//! domain's targets may still be up, so they are not left out; but a connection
-//! that was open before proves nothing, and a new one does.
+//! Routers of all domains probe each other. When probes into a domain time out and no packet from
+//! any of its routers has arrived since, the path there may be cut. The domain's targets may still
+//! be up, so they stay eligible; but a connection that was already open no longer proves that a
+//! target is reachable, while a new one does.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Probes into a domain in a row that must go unanswered.
-const MISSED: u32 = 2;
+/// Consecutive probes into a domain that must time out.
+const MIN_MISSES: u32 = 2;
 
-/// Intervals between probes for which all its routers must be silent: 0.4 s. Computed for twenty
-/// packets a second drawn evenly from three hundred routers, sixty of a domain are all silent for so
-/// long once in five times, so unanswered probes must come on top.
-const SILENT: u32 = 4;
+/// Probe intervals without a packet from any router of the domain: 0.4 s. With twenty packets a
+/// second drawn evenly from three hundred routers, sixty of them in the domain, a silence of this
+/// length occurs once in five times, so timed-out probes are required as well.
+const MIN_SILENCE_INTERVALS: u32 = 4;
 
-/// A domain that has been silent for this long has no routers; that says nothing of its targets.
-const ENDED: Duration = Duration::from_secs(8);
+/// A domain that has been silent for this long has no routers; this says nothing about its targets.
+const MAX_SILENCE: Duration = Duration::from_secs(8);
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Contact {
-    heard: Duration,
-    missed: u32,
+    last_packet: Duration,
+    misses: u32,
 }
 
-/// When routers of each domain were heard.
+/// Contacts with the routers of each domain.
 #[derive(Clone, Debug)]
 pub struct Reach {
     interval: Duration,
@@ -34,7 +34,7 @@
 }
 
 impl Reach {
-    /// Nothing heard yet; `interval` is the time between probes of a router.
+    /// No contacts yet; `interval` is the time between two probes of a router.
     #[must_use]
     pub fn new(interval: Duration) -> Self {
         Self {
@@ -43,29 +43,30 @@
         }
     }
 
-    /// A router of a domain was heard.
+    /// Records a packet from a router of a domain.
     pub fn hear(&mut self, domain: &Arc<str>, now: Duration) {
         let contact = Contact {
-            heard: now,
-            missed: 0,
+            last_packet: now,
+            misses: 0,
         };
         self.domains.insert(domain.clone(), contact);
     }
 
-    /// A router of a domain left a probe unanswered.
+    /// Records that a probe to a router of a domain timed out.
     pub fn miss(&mut self, domain: &str) {
         if let Some(contact) = self.domains.get_mut(domain) {
-            contact.missed += 1;
+            contact.misses += 1;
         }
     }
 
-    /// Whether the way to a domain may be cut.
+    /// Whether the path to a domain may be cut.
     #[must_use]
     pub fn doubtful(&self, domain: &str, now: Duration) -> bool {
         self.domains.get(domain).is_some_and(|contact| {
-            let silent = now.saturating_sub(contact.heard);
-            let long = silent >= self.interval * SILENT && silent < ENDED;
-            long && contact.missed >= MISSED
+            let silence = now.saturating_sub(contact.last_packet);
+            let in_range =
+                silence >= self.interval * MIN_SILENCE_INTERVALS && silence < MAX_SILENCE;
+            in_range && contact.misses >= MIN_MISSES
         })
     }
 }
--- a/crates/dispatch/src/reading.rs
+++ b/crates/dispatch/src/reading.rs
@@ -1,10 +1,11 @@
-//! When a view was read from the platform's store, as told from router to router.
+//! Ages of views of the platform's store, as passed on between routers.
 //!
-//! Clocks differ, so routers tell ages; the way of a message is left out, and an age that is told
-//! on and on gets younger than the view is: with messages that wait 30 ms at busy routers faster
-//! than time passes. So a reading has a name, its reader and a number, and is dated once: what is
-//! heard of it again can make it older, never younger. A view that went round 295 routers counted as
-//! fresh for 7 s although nobody had read it, and requests reached targets that had ended.
+//! Clocks differ, so routers exchange ages instead of timestamps. The delay of a message isn't
+//! included, so an age that is passed on repeatedly falls behind the true one: with messages that
+//! wait 30 ms at busy routers, it falls faster than time passes. So each reading is identified by
+//! its reader and a number, and is dated once: later reports can make it older, but never younger.
+//! Without this, a view that circulated among 295 routers counted as fresh for 7 s although nobody
+//! had read it, and requests reached targets that had ended.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,38 +14,38 @@
 
 use crate::usage::Peer;
 
-/// How long a reading is remembered: longer than any view is used without a newer reading.
-const REMEMBERED: Duration = Duration::from_mins(1);
+/// How long a reading is kept: longer than any view is used without a newer reading.
+const RETENTION: Duration = Duration::from_mins(1);
 
-/// A reading of a view, as it is told.
+/// A reading of a view, as sent to other routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reading {
-    /// Short name of the start of the router that read it.
+    /// Low half of the identity of the reader's start.
     pub reader: u32,
-    /// Number of the reading there.
+    /// Sequence number at the reader.
     pub number: u32,
-    /// How long ago it was, in milliseconds.
+    /// Age in milliseconds.
     pub age_ms: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Dated {
+struct Entry {
     number: u32,
     at: Duration,
 }
 
-/// The readings of one view that a router knows.
+/// The known readings of one view.
 #[derive(Clone, Debug)]
 pub struct Readings {
     own: u32,
-    /// The last reading of each reader.
-    last: HashMap<u32, Dated>,
-    /// Reader and date of the reading that the router's view is of.
-    newest: Option<(u32, Dated)>,
+    /// The latest reading of each reader.
+    latest: HashMap<u32, Entry>,
+    /// Reader and date of the reading that this router's view comes from.
+    current: Option<(u32, Entry)>,
 }
 
 impl Readings {
-    /// Nothing read yet.
+    /// No reading yet.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
@@ -53,67 +54,67 @@
     pub fn new(own: Peer) -> Self {
         Self {
             own: own.0 as u32,
-            last: HashMap::new(),
-            newest: None,
+            latest: HashMap::new(),
+            current: None,
         }
     }
 
-    /// This router has read the view, as it was `at`.
+    /// Records that this router read the view, as of `at`.
     pub fn read(&mut self, at: Duration) {
-        let number = self.last.get(&self.own).map_or(0, |it| it.number);
-        let dated = Dated {
+        let number = self.latest.get(&self.own).map_or(0, |it| it.number);
+        let entry = Entry {
             number: number + 1,
             at,
         };
-        self.last.insert(self.own, dated);
-        self.newest = Some((self.own, dated));
+        self.latest.insert(self.own, entry);
+        self.current = Some((self.own, entry));
     }
 
-    /// When a reading was made that a peer tells of; none if its reader has read again since.
+    /// Dates a reading that a peer reported; none if its reader has read again since.
     pub fn hear(&mut self, reading: Reading, now: Duration) -> Option<Duration> {
         let age = Duration::from_millis(reading.age_ms);
-        let told = now.saturating_sub(age);
-        let known = self.last.get(&reading.reader).copied();
+        let reported = now.saturating_sub(age);
+        let known = self.latest.get(&reading.reader).copied();
         let at = match known {
             Some(known) if known.number > reading.number => return None,
-            Some(known) if known.number == reading.number => told.min(known.at),
-            _ => told,
+            Some(known) if known.number == reading.number => reported.min(known.at),
+            _ => reported,
         };
-        let dated = Dated {
+        let entry = Entry {
             number: reading.number,
             at,
         };
-        self.last.insert(reading.reader, dated);
-        self.last
-            .retain(|_, it| now.saturating_sub(it.at) < REMEMBERED);
+        self.latest.insert(reading.reader, entry);
+        self.latest
+            .retain(|_, it| now.saturating_sub(it.at) < RETENTION);
         Some(at)
     }
 
-    /// The router's view is the one of a reading that was made `at`.
+    /// Records that this router's view comes from a reading made `at`.
     pub fn adopt(&mut self, reading: Reading, at: Duration) {
-        let dated = Dated {
+        let entry = Entry {
             number: reading.number,
             at,
         };
-        if self.newest.is_none_or(|(_, newest)| at > newest.at) {
-            self.newest = Some((reading.reader, dated));
+        if self.current.is_none_or(|(_, newest)| at > newest.at) {
+            self.current = Some((reading.reader, entry));
         }
     }
 
-    /// When the router's view was read.
+    /// When this router's view was read.
     #[must_use]
     pub fn at(&self) -> Option<Duration> {
-        self.newest.map(|(_, it)| it.at)
+        self.current.map(|(_, it)| it.at)
     }
 
-    /// What is told to peers.
+    /// The reading that is reported to peers.
     #[must_use]
     pub fn tell(&self, now: Duration) -> Option<Reading> {
-        let (reader, dated) = self.newest?;
-        let age = now.saturating_sub(dated.at);
+        let (reader, entry) = self.current?;
+        let age = now.saturating_sub(entry.at);
         Some(Reading {
             reader,
-            number: dated.number,
+            number: entry.number,
             age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
         })
     }
--- a/crates/dispatch/src/region.rs
+++ b/crates/dispatch/src/region.rs
@@ -1,10 +1,11 @@
-//! Regions: groups of failure domains that lie near each other.
+//! Regions: groups of failure domains that are close to each other.
 //!
-//! The way between two regions is long and its bytes are dear, so the targets of a service are cut into
-//! cells region by region ([`crate::cell`]), and operators may bind routes and customers to regions.
+//! Traffic between regions is slow and expensive, so the targets of a service are divided into
+//! cells region by region ([`crate::cell`]), and operators may restrict routes and customers to
+//! regions.
 //!
-//! All routers are told the same failure domains and number the regions in the order of their names, so
-//! a number means the same region everywhere.
+//! All routers are configured with the same failure domains and number the regions in the order of
+//! their names, so a number denotes the same region everywhere.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -18,11 +19,11 @@
 pub struct Region(pub u8);
 
 impl Region {
-    /// That of a failure domain of which no region was told.
+    /// Region of a failure domain for which none is configured.
     pub const UNKNOWN: Self = Self(u8::MAX);
 
-    /// Regions that a binding can name; more are [unknown](Self::UNKNOWN).
-    const MOST: usize = 64;
+    /// Limit on regions that a restriction can name; further ones are [unknown](Self::UNKNOWN).
+    const MAX_NAMED: usize = 64;
 }
 
 /// The regions of a deployment.
@@ -38,16 +39,16 @@
     pub fn new(domains: impl IntoIterator<Item = (Arc<str>, Arc<str>)>) -> Self {
         let domains: Vec<_> = domains.into_iter().collect();
         let names: BTreeSet<_> = domains.iter().map(|(_, region)| region.clone()).collect();
-        let names: Vec<_> = names.into_iter().take(Region::MOST).collect();
+        let names: Vec<_> = names.into_iter().take(Region::MAX_NAMED).collect();
         let by_domain = domains.into_iter();
-        let by_domain = by_domain.map(|(domain, region)| (domain, number(&names, &region)));
+        let by_domain = by_domain.map(|(domain, region)| (domain, region_by_name(&names, &region)));
         Self {
             by_domain: by_domain.collect(),
             names,
         }
     }
 
-    /// The region of a failure domain. Where no regions were told, all domains are in one.
+    /// The region of a failure domain. Without configured regions, all domains belong to one.
     #[must_use]
     pub fn of(&self, domain: &str) -> Region {
         if self.names.is_empty() {
@@ -57,13 +58,14 @@
         region.unwrap_or(Region::UNKNOWN)
     }
 
-    /// The regions that a list of names allows; names that no region has allow nothing, no names all.
+    /// The regions permitted by a list of names. An empty list permits all regions; unknown names
+    /// permit none.
     #[must_use]
     pub fn allowed(&self, names: &[Arc<str>]) -> Allowed {
         if names.is_empty() {
             return Allowed::ANY;
         }
-        let regions = names.iter().map(|it| number(&self.names, it));
+        let regions = names.iter().map(|it| region_by_name(&self.names, it));
         let known = regions.filter(|it| *it != Region::UNKNOWN);
         Allowed(Some(known.fold(0, |set, it| set | 1 << it.0)))
     }
@@ -75,21 +77,21 @@
     }
 }
 
-fn number(names: &[Arc<str>], region: &str) -> Region {
-    let place = names.iter().position(|it| it.as_ref() == region);
-    let place = place.and_then(|it| u8::try_from(it).ok());
-    place.map_or(Region::UNKNOWN, Region)
+fn region_by_name(names: &[Arc<str>], region: &str) -> Region {
+    let index = names.iter().position(|it| it.as_ref() == region);
+    let index = index.and_then(|it| u8::try_from(it).ok());
+    index.map_or(Region::UNKNOWN, Region)
 }
 
-/// The regions in which a request may run: a set of their numbers, or any.
+/// The regions in which a request may run: a set of region numbers, or any region.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Allowed(Option<u64>);
 
 impl Allowed {
-    /// Any region, also one that is not known.
+    /// Any region, including an unknown one.
     pub const ANY: Self = Self(None);
 
-    /// Regions in which both allow a request to run.
+    /// The regions permitted by both.
     #[must_use]
     pub fn and(self, other: Self) -> Self {
         match (self.0, other.0) {
--- a/crates/dispatch/src/roundtrip.rs
+++ b/crates/dispatch/src/roundtrip.rs
@@ -1,23 +1,23 @@
-//! How long a message and its answer take to each failure domain.
+//! Round-trip times to failure domains.
 //!
-//! A time-out that knows nothing of the way takes every router of a far domain for one that doesn't
-//! answer. Times are measured on probes, smoothed, and bounded by their deviation as TCP does it
-//! (RFC 6298). Routers of one domain lie at one place, so a probe of any of them counts for all: with
-//! ten probes a second the times are known within a second of the start. A probe that was sent twice
-//! is not counted, as its answer may be one to either.
+//! With a time-out that ignores distance, every router of a remote domain would seem not to answer.
+//! Times are measured by probes and smoothed, and the time-out follows from their mean deviation as
+//! in TCP (RFC 6298). The routers of a domain are at one location, so a probe of any of them counts
+//! for all: at ten probes a second the times are known within a second of the start. A repeated
+//! probe is not counted, as the answer may belong to either attempt.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Part of a new time in the smoothed one.
-const GAIN: f64 = 0.125;
+/// Weight of a new sample in the smoothed mean.
+const MEAN_GAIN: f64 = 0.125;
 
-/// Part of a new deviation in the smoothed one.
+/// Weight of a new sample in the smoothed deviation.
 const DEVIATION_GAIN: f64 = 0.25;
 
-/// Deviations beyond the smoothed time within which an answer is expected.
-const DEVIATIONS: f64 = 4.0;
+/// Number of mean deviations above the mean after which an answer counts as overdue.
+const TIMEOUT_DEVIATIONS: f64 = 4.0;
 
 #[derive(Clone, Copy, Debug)]
 struct Estimate {
@@ -25,23 +25,23 @@
     deviation: f64,
 }
 
-/// Time to a failure domain and back.
+/// Round-trip time to a failure domain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RoundTrip {
-    /// In the mean.
+    /// Smoothed mean.
     pub mean: Duration,
-    /// Within which an answer is expected.
+    /// Time within which an answer is expected.
     pub limit: Duration,
 }
 
-/// Times to the failure domains that are known.
+/// Round-trip times by failure domain.
 #[derive(Clone, Debug, Default)]
 pub struct RoundTrips {
     by_domain: HashMap<Arc<str>, Estimate>,
 }
 
 impl RoundTrips {
-    /// A message to a domain was answered after `time`.
+    /// Records the round-trip time of a message to a domain.
     pub fn note(&mut self, domain: &Arc<str>, time: Duration) {
         let seconds = time.as_secs_f64();
         let Some(estimate) = self.by_domain.get_mut(domain) else {
@@ -54,14 +54,14 @@
         };
         let error = seconds - estimate.seconds;
         estimate.deviation += DEVIATION_GAIN * (error.abs() - estimate.deviation);
-        estimate.seconds += GAIN * error;
+        estimate.seconds += MEAN_GAIN * error;
     }
 
-    /// The time to a domain and back; none if nothing of it was answered yet.
+    /// The round-trip time to a domain; none before the first sample.
     #[must_use]
     pub fn to(&self, domain: &str) -> Option<RoundTrip> {
         let estimate = self.by_domain.get(domain)?;
-        let limit = estimate.seconds + DEVIATIONS * estimate.deviation;
+        let limit = estimate.seconds + TIMEOUT_DEVIATIONS * estimate.deviation;
         Some(RoundTrip {
             mean: Duration::from_secs_f64(estimate.seconds),
             limit: Duration::from_secs_f64(limit),
--- a/crates/dispatch/src/turn.rs
+++ b/crates/dispatch/src/turn.rs
@@ -1,114 +1,116 @@
-//! When a router calls the store for a view that others call for as well.
+//! Schedule by which routers poll the store for a view that they share.
 //!
-//! Routers call in the order of their ranks: the first when the view has reached some age, each further
-//! one a step later, in which what the one before has read would have come to it. So the callers are
-//! few while all is well; while the store answers nobody they grow with the time that this lasts and not
-//! with the fleet, as each that has failed pauses longer each time. A fleet that calls all at once when
-//! a view is lost overruns the store, and so keeps the view lost.
+//! Routers poll in the order of their ranks: the first once the view has reached some age, each
+//! further one a step later, in which the result of the one before would have reached it. So few
+//! routers poll as long as the store answers. While it answers nobody, the number of polling
+//! routers grows with the length of the outage and not with the size of the fleet, as each failed
+//! router backs off exponentially. A fleet whose routers all poll at once when a view is lost
+//! overloads the store, and so never regains the view.
 //!
-//! A router that hears nobody is first in rank, whoever it knew before.
+//! An isolated router ranks first, regardless of the routers that it knew before.
 
 use std::time::Duration;
 
-/// Pauses after calls that failed, from the first to the longest.
-type Pauses = (Duration, Duration);
+/// Delays after failed polls: the first and the longest.
+type Backoff = (Duration, Duration);
 
-/// Those of the routers that call for all: a store that is back is read within the longest.
-const PAUSES: Pauses = (Duration::from_millis(250), Duration::from_millis(500));
+/// Delays of the designated pollers: a store that is back is read within the longest.
+const POLLER_BACKOFF: Backoff = (Duration::from_millis(250), Duration::from_millis(500));
 
-/// Those of routers that only stand in for them.
-const PAUSES_RESERVE: Pauses = (Duration::from_secs(1), Duration::from_secs(4));
+/// Delays of routers that only stand in for them.
+const STANDBY_BACKOFF: Backoff = (Duration::from_secs(1), Duration::from_secs(4));
 
-/// Part of a step by which routers differ that take themselves to have the same rank.
-const SPREAD: f64 = 0.35;
+/// Range of the random delay of routers that assume the same rank, as a fraction of a step.
+const JITTER: f64 = 0.35;
 
-/// When a router of a rank calls.
+/// Poll times by rank.
 #[derive(Clone, Copy, Debug)]
 pub struct Turn {
-    /// Age of the view at which the first one does.
+    /// Age of the view at which the first router polls.
     pub first: Duration,
-    /// How much later each further one does.
+    /// Delay between consecutive ranks.
     pub step: Duration,
-    /// Routers that call as long as all is well.
+    /// Number of routers that poll in normal operation.
     pub callers: usize,
 }
 
 impl Turn {
-    /// Age of the view at which a router calls; `chance` is from 0 to 1.
+    /// Age of the view at which a router polls; `random` is from 0 to 1.
     #[must_use]
-    pub fn age(&self, rank: usize, chance: f64) -> Duration {
-        self.first + self.wait(rank, chance)
+    pub fn age(&self, rank: usize, random: f64) -> Duration {
+        self.first + self.rank_delay(rank, random)
     }
 
-    /// How long a router waits for those before it in rank.
-    fn wait(&self, rank: usize, chance: f64) -> Duration {
+    /// Time for which a router waits for those before it in rank.
+    fn rank_delay(&self, rank: usize, random: f64) -> Duration {
         let rank = u32::try_from(rank).unwrap_or(u32::MAX);
-        let spread = if rank == 0 { 0.0 } else { SPREAD * chance };
-        self.step.mul_f64(f64::from(rank) + spread)
+        let jitter = if rank == 0 { 0.0 } else { JITTER * random };
+        self.step.mul_f64(f64::from(rank) + jitter)
     }
 }
 
-/// A router's calls for one view.
+/// State of a router's polls for one view.
 #[derive(Clone, Debug)]
 pub struct Caller {
     turn: Turn,
-    /// Drawn once.
-    chance: f64,
+    /// Drawn once, from 0 to 1.
+    random: f64,
     failures: u32,
-    paused_until: Duration,
+    retry_at: Duration,
 }
 
 impl Caller {
-    /// A router that has not called yet; `chance` is drawn from 0 to 1.
+    /// A router that has not polled yet; `random` is from 0 to 1.
     #[must_use]
-    pub fn new(turn: Turn, chance: f64) -> Self {
+    pub fn new(turn: Turn, random: f64) -> Self {
         Self {
             turn,
-            chance,
+            random,
             failures: 0,
-            paused_until: Duration::ZERO,
+            retry_at: Duration::ZERO,
         }
     }
 
-    /// Whether a router of this rank calls as long as all is well.
+    /// Whether a router of this rank polls in normal operation.
     #[must_use]
     pub fn called_upon(&self, rank: usize) -> bool {
         rank < self.turn.callers
     }
 
-    /// When it calls next, if nobody else confirms the view before; `known_at` is when the view was
-    /// confirmed last. A view that was never known is called for at once, in the order of ranks.
+    /// Time of the next poll, unless another router confirms the view before; `known_at` is when
+    /// the view was last confirmed. A view that was never known is polled for at once, in the order
+    /// of ranks.
     #[must_use]
     pub fn due(&self, known_at: Option<Duration>, rank: usize) -> Duration {
         let due = match known_at {
-            Some(at) => at + self.turn.age(rank, self.chance),
-            None => self.turn.wait(rank, self.chance),
+            Some(at) => at + self.turn.age(rank, self.random),
+            None => self.turn.rank_delay(rank, self.random),
         };
-        due.max(self.paused_until)
+        due.max(self.retry_at)
     }
 
-    /// When it calls again after a call that failed; at once if none did.
+    /// Earliest time of the next poll after a failed one; zero if none failed.
     #[must_use]
     pub fn resumes(&self) -> Duration {
-        self.paused_until
+        self.retry_at
     }
 
-    /// A call was answered.
+    /// Records an answered poll.
     pub fn answered(&mut self) {
         self.failures = 0;
-        self.paused_until = Duration::ZERO;
+        self.retry_at = Duration::ZERO;
     }
 
-    /// A call was not answered, or turned away.
+    /// Records a poll that was not answered or was rejected.
     pub fn failed(&mut self, rank: usize, now: Duration) {
-        let (first, most) = if self.called_upon(rank) {
-            PAUSES
+        let (first, longest) = if self.called_upon(rank) {
+            POLLER_BACKOFF
         } else {
-            PAUSES_RESERVE
+            STANDBY_BACKOFF
         };
-        let pause = first.saturating_mul(1 << self.failures.min(8)).min(most);
+        let pause = first.saturating_mul(1 << self.failures.min(8)).min(longest);
         self.failures += 1;
-        // Those that failed at the same moment don't try again at the same moment.
-        self.paused_until = now + pause.mul_f64(0.5 + 0.5 * self.chance);
+        // Jitter, so that routers that failed at the same moment don't retry at the same moment.
+        self.retry_at = now + pause.mul_f64(0.5 + 0.5 * self.random);
     }
 }
--- a/crates/dispatch/tests/cells.rs
+++ b/crates/dispatch/tests/cells.rs
@@ -1,4 +1,4 @@
-//! Cells, their owners, and what an owner counts.
+//! Cells, their owners, and the load that an owner accounts for.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn every_target_is_in_one_cell_and_few_move_when_one_comes() {
+fn every_target_is_in_one_cell_and_few_move_when_one_is_added() {
     assert_eq!(cells(9).values().max(), Some(&0));
     let (before, after) = (cells(140), cells(141));
     assert_eq!((before.len(), after.len()), (140, 141));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn prefixes_find_cells_in_proportion_to_their_sizes() {
+fn prefixes_are_distributed_over_cells_by_size() {
     let sizes = [10, 20, 0, 30];
     let mut homes = [0usize; 4];
     for number in 0..6_000 {
@@ -96,7 +96,7 @@
     card(number).address
 }
 
-/// A router's view of `others`, all heard long enough ago to own cells.
+/// A router's view in which all `others` have settled.
 fn view(own: u8, others: &[u8]) -> Members {
     let mut members = Members::new(card(own));
     for number in others {
@@ -105,7 +105,7 @@
     members
 }
 
-fn a_cell(index: u16) -> Cell {
+fn cell_at(index: u16) -> Cell {
     Cell {
         service: ServiceTag::new("pool"),
         region: Region::default(),
@@ -118,22 +118,22 @@
     let all = [1, 2, 3, 4, 5];
     let mut owners = HashMap::new();
     for index in 0..200 {
-        let said = all.map(|own| {
+        let chosen = all.map(|own| {
             let others: Vec<_> = all.into_iter().filter(|it| *it != own).collect();
-            view(own, &others).owner(a_cell(index), ms(2_000))
+            view(own, &others).owner(cell_at(index), ms(2_000))
         });
-        assert!(said.iter().all(|it| *it == said[0]));
-        *owners.entry(said[0]).or_insert(0) += 1;
+        assert!(chosen.iter().all(|it| *it == chosen[0]));
+        *owners.entry(chosen[0]).or_insert(0) += 1;
     }
     assert_eq!(owners.len(), 5);
     assert!(owners.values().all(|count| (20..=60).contains(count)));
 }
 
 #[test]
-fn a_router_that_leaves_is_behind_or_has_just_come_owns_nothing() {
+fn a_leaving_overloaded_or_new_router_owns_no_cells() {
     let mut members = view(1, &[2, 3]);
     let owners = |members: &Members, now| {
-        let owners = (0..50).map(|index| members.owner(a_cell(index), now));
+        let owners = (0..50).map(|index| members.owner(cell_at(index), now));
         owners.collect::<std::collections::HashSet<_>>()
     };
     assert!(owners(&members, ms(2_000)).contains(&address(2)));
@@ -152,10 +152,10 @@
 }
 
 #[test]
-fn a_router_that_leaves_requests_unanswered_is_passed_over_longer_each_time() {
+fn an_unresponsive_router_is_excluded_longer_each_time() {
     let mut members = view(1, &[2]);
     let cell = (0..100)
-        .map(a_cell)
+        .map(cell_at)
         .find(|it| members.owner(*it, ms(2_000)) == address(2));
     let cell = cell.unwrap();
     assert!(!members.missed(address(2), ms(2_000)));
@@ -171,25 +171,25 @@
 }
 
 #[test]
-fn routers_that_have_ended_are_dropped_and_one_that_starts_again_is_another() {
+fn ended_routers_are_removed_and_a_restarted_one_is_new() {
     let mut members = view(1, &[2, 3]);
     members.remove(&card(2));
     assert_eq!((members.count(), members.knows(address(3))), (2, true));
-    let again = Card {
+    let restarted = Card {
         peer: Peer(99),
         ..card(3)
     };
-    assert!(members.hear(&again, Condition::Sound, ms(2_700)));
-    assert!(!members.hear(&again, Condition::Sound, ms(2_800)));
-    // The end of the start before is no end of this one.
+    assert!(members.hear(&restarted, Condition::Sound, ms(2_700)));
+    assert!(!members.hear(&restarted, Condition::Sound, ms(2_800)));
+    // The end of an earlier start doesn't remove the current one.
     members.remove(&card(3));
     assert!(members.knows(address(3)));
-    members.remove(&again);
+    members.remove(&restarted);
     assert_eq!(members.count(), 1);
 }
 
 #[test]
-fn each_duty_has_one_first_router_of_all_and_one_in_each_domain() {
+fn each_duty_has_a_first_router_overall_and_in_each_domain() {
     let all = [1, 2, 3, 4, 5, 6];
     for duty in [Duty::Configuration, Duty::Targets] {
         let ranks = |scope| {
@@ -205,10 +205,10 @@
     }
 }
 
-/// Places given, prompts read, places given back and whole reports, in any order: the sum
-/// is always that of a naive count, and never more is taken back than was given.
+/// Random sequences of placements, read prompts, released places and full reports: the load always
+/// equals a naive count, and no more is released than was placed.
 #[test]
-fn the_work_at_a_target_is_the_sum_of_all_routers_whatever_comes_in() {
+fn load_of_a_target_matches_a_naive_sum_over_routers() {
     let mut random = Pcg64Mcg::seed_from_u64(5);
     let tags = [Tag(1), Tag(2), Tag(3)];
     let peers = [Peer(1), Peer(2)];
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn a_prompt_is_told_with_its_shared_parts_as_one() {
+fn a_brief_prompt_merges_its_shared_parts() {
     let part = |id, tokens| Part { id, tokens };
     let prompt = |own| Prompt {
         tokens: 1_000,
--- a/crates/dispatch/tests/reading.rs
+++ b/crates/dispatch/tests/reading.rs
@@ -1,4 +1,4 @@
-//! Ages of views that are told from router to router.
+//! Ages of views that are passed on between routers.
 
 use std::time::Duration;
 
@@ -9,23 +9,23 @@
     Duration::from_millis(milliseconds)
 }
 
-/// Routers tell each other in turn, and each message waits 30 ms: told as a mere age, the view stays
-/// as young as on the first day.
+/// Each router reports to the next, and each message waits 30 ms. Passing on a plain age would
+/// leave the view as young as when it was read.
 #[test]
-fn a_reading_that_is_told_on_and_on_gets_no_younger() {
+fn a_reading_passed_on_repeatedly_gets_no_younger() {
     let mut routers: Vec<_> = (1..=5).map(|it| Readings::new(Peer(it))).collect();
     routers[0].read(ms(1_000));
     let mut now = ms(1_000);
     for step in 0..500 {
         let from = step % 5;
-        let told = routers[from].tell(now);
+        let reported = routers[from].tell(now);
         now += ms(30);
         let to = (from + 1) % 5;
-        let Some(told) = told else {
+        let Some(reported) = reported else {
             continue;
         };
-        if let Some(at) = routers[to].hear(told, now) {
-            routers[to].adopt(told, at);
+        if let Some(at) = routers[to].hear(reported, now) {
+            routers[to].adopt(reported, at);
         }
     }
     assert_eq!(now, ms(16_000));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_newer_reading_of_the_same_reader_holds_and_an_older_one_is_ignored() {
+fn a_newer_reading_overrides_an_older_one_of_the_same_reader() {
     let mut readings = Readings::new(Peer(1));
     let reading = |number, age_ms| Reading {
         reader: 7,
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_router_tells_the_youngest_reading_of_its_view() {
+fn a_router_reports_the_youngest_reading_of_its_view() {
     let mut readings = Readings::new(Peer(1));
     assert_eq!(readings.tell(ms(0)), None);
     readings.read(ms(500));
@@ -70,6 +70,9 @@
     };
     let at = readings.hear(younger, ms(1_000)).unwrap();
     readings.adopt(younger, at);
-    let told = readings.tell(ms(1_200)).unwrap();
-    assert_eq!((told.reader, told.number, told.age_ms), (7, 2, 300));
+    let reported = readings.tell(ms(1_200)).unwrap();
+    assert_eq!(
+        (reported.reader, reported.number, reported.age_ms),
+        (7, 2, 300)
+    );
 }
--- a/crates/dispatch/tests/turns.rs
+++ b/crates/dispatch/tests/turns.rs
@@ -1,4 +1,5 @@
-//! Who calls the store, in fleets of some sizes whose store answers, is overrun, or is away.
+//! Polls of the store in fleets of several sizes, with a store that answers, is overloaded, or is
+//! unreachable.
 
 use std::time::Duration;
 
@@ -12,22 +13,22 @@
     callers: 1,
 };
 
-/// Time in which what one router has read comes to all: seven greetings one after the other.
-const SPREAD: Duration = Duration::from_millis(200);
+/// Time for a reading to reach all routers: seven greetings in sequence.
+const PROPAGATION: Duration = Duration::from_millis(200);
 
-/// Calls of a reading: a list of so many pages if none is known, else one.
+/// Requests for a full list, which has this many pages; a known list is confirmed by one request.
 const PAGES: usize = 50;
 
-const STEP: Duration = Duration::from_millis(10);
+const TICK: Duration = Duration::from_millis(10);
 
 /// A fleet with one store.
 struct Fleet {
     callers: Vec<Caller>,
     known_at: Vec<Option<Duration>>,
-    /// What has been read and is on its way: when it was, and when it arrives.
-    told: Vec<(Duration, Duration)>,
-    /// Moments of all calls.
-    calls: Vec<Duration>,
+    /// Readings in flight: when each was made, and when it arrives.
+    in_flight: Vec<(Duration, Duration)>,
+    /// Times of all requests.
+    requests: Vec<Duration>,
 }
 
 impl Fleet {
@@ -37,16 +38,16 @@
         Self {
             callers: callers.collect(),
             known_at: vec![None; routers],
-            told: Vec::new(),
-            calls: Vec::new(),
+            in_flight: Vec::new(),
+            requests: Vec::new(),
         }
     }
 
-    /// Time passes; `serves` says whether the store answers the router of a rank.
-    fn run(&mut self, from: Duration, to: Duration, serves: impl Fn(usize, Duration) -> bool) {
+    /// Advances the time; `answers` tells whether the store answers the router of a rank.
+    fn run(&mut self, from: Duration, to: Duration, answers: impl Fn(usize, Duration) -> bool) {
         let mut now = from;
         while now < to {
-            self.arrive(now);
+            self.deliver(now);
             for rank in 0..self.callers.len() {
                 if self.callers[rank].due(self.known_at[rank], rank) > now {
                     continue;
@@ -56,36 +57,36 @@
                 } else {
                     1
                 };
-                if serves(rank, now) {
-                    self.calls.extend(std::iter::repeat_n(now, pages));
+                if answers(rank, now) {
+                    self.requests.extend(std::iter::repeat_n(now, pages));
                     self.callers[rank].answered();
                     self.known_at[rank] = Some(now);
-                    self.told.push((now, now + SPREAD));
+                    self.in_flight.push((now, now + PROPAGATION));
                 } else {
-                    self.calls.push(now);
+                    self.requests.push(now);
                     self.callers[rank].failed(rank, now);
                 }
             }
-            now += STEP;
+            now += TICK;
         }
     }
 
-    fn arrive(&mut self, now: Duration) {
-        let arrived = self.told.iter().filter(|(_, at)| *at <= now);
+    fn deliver(&mut self, now: Duration) {
+        let arrived = self.in_flight.iter().filter(|(_, at)| *at <= now);
         let newest = arrived.map(|(read, _)| *read).max();
-        self.told.retain(|(_, at)| *at > now);
+        self.in_flight.retain(|(_, at)| *at > now);
         for known in &mut self.known_at {
             *known = newest.max(*known);
         }
     }
 
-    fn calls_between(&self, from: Duration, to: Duration) -> usize {
-        let between = self.calls.iter().filter(|it| (from..to).contains(*it));
+    fn requests_between(&self, from: Duration, to: Duration) -> usize {
+        let between = self.requests.iter().filter(|it| (from..to).contains(*it));
         between.count()
     }
 
     /// Age of the oldest view.
-    fn oldest(&self, now: Duration) -> Duration {
+    fn oldest_view(&self, now: Duration) -> Duration {
         let ages = self.known_at.iter();
         let ages = ages.map(|it| now.saturating_sub(it.unwrap_or_default()));
         ages.max().unwrap_or_default()
@@ -99,71 +100,73 @@
 const SIZES: [usize; 4] = [9, 100, 1_000, 2_000];
 
 #[test]
-fn calls_do_not_grow_with_the_fleet_while_all_is_well() {
+fn poll_count_is_independent_of_fleet_size() {
     for routers in SIZES {
         let mut fleet = Fleet::new(routers);
         fleet.run(Duration::ZERO, seconds(50), |_, _| true);
-        // Two lists at the start, as the second in rank waits for less than a list takes to spread.
-        let calls = fleet.calls.len();
-        assert!(calls <= 2 * PAGES + 60, "{routers}: {calls}");
-        assert!(fleet.oldest(seconds(50)) < seconds(2));
+        // Two lists at the start, as the delay of the second rank is shorter than a list takes to
+        // propagate.
+        let requests = fleet.requests.len();
+        assert!(requests <= 2 * PAGES + 60, "{routers}: {requests}");
+        assert!(fleet.oldest_view(seconds(50)) < seconds(2));
     }
 }
 
 #[test]
-fn calls_do_not_grow_with_the_fleet_while_the_store_is_away_and_all_know_soon_that_it_is_back() {
+fn poll_count_is_bounded_during_an_outage_and_views_recover_soon_after() {
     for routers in SIZES {
         let mut fleet = Fleet::new(routers);
-        let away = |_: usize, now: Duration| !(seconds(10)..seconds(19)).contains(&now);
-        fleet.run(Duration::ZERO, seconds(21), away);
-        let calls = fleet.calls_between(seconds(10), seconds(19));
-        assert!(calls <= 160, "{routers}: {calls}");
-        let age = fleet.oldest(seconds(21));
+        let answers = |_: usize, now: Duration| !(seconds(10)..seconds(19)).contains(&now);
+        fleet.run(Duration::ZERO, seconds(21), answers);
+        let requests = fleet.requests_between(seconds(10), seconds(19));
+        assert!(requests <= 160, "{routers}: {requests}");
+        let age = fleet.oldest_view(seconds(21));
         assert!(age < seconds(2), "{routers}: {age:?}");
     }
 }
 
 #[test]
-fn routers_that_are_turned_away_are_stood_in_for() {
+fn standbys_replace_rejected_pollers() {
     for routers in SIZES {
         let mut fleet = Fleet::new(routers);
-        // The first three in rank, for nine seconds.
-        let turned =
+        // The store rejects the first three ranks for nine seconds.
+        let answers =
             |rank: usize, now: Duration| rank >= 3 || !(seconds(10)..seconds(19)).contains(&now);
-        fleet.run(Duration::ZERO, seconds(10), turned);
+        fleet.run(Duration::ZERO, seconds(10), answers);
         let mut now = seconds(10);
         while now < seconds(19) {
-            fleet.run(now, now + STEP, turned);
-            now += STEP;
-            let age = fleet.oldest(now);
+            fleet.run(now, now + TICK, answers);
+            now += TICK;
+            let age = fleet.oldest_view(now);
             assert!(age < seconds(2), "{routers}: {age:?} at {now:?}");
         }
-        assert!(fleet.calls_between(seconds(10), seconds(19)) <= 80);
+        assert!(fleet.requests_between(seconds(10), seconds(19)) <= 80);
     }
 }
 
-/// Once a thousand routers had lost the list, all of them read it by themselves for good, and the store
-/// that they overran answered none of them.
+/// Guards against a persistent overload: after a thousand routers had lost the list, all of them
+/// polled for it, and the store, overloaded by that, answered none of them.
 #[test]
-fn a_fleet_without_a_list_at_a_store_that_it_can_overrun_comes_out_of_it() {
+fn a_fleet_recovers_from_overloading_the_store() {
     for routers in SIZES {
         let mut fleet = Fleet::new(routers);
-        // All have been failing for a while.
+        // All routers have failed several times.
         for rank in 0..routers {
             for _ in 0..6 {
                 fleet.callers[rank].failed(rank, Duration::ZERO);
             }
         }
-        // The store answers nobody in a second after one with more than 500 calls.
+        // The store answers nobody for as long as it received more than 500 requests in the last
+        // second.
         let mut now = Duration::ZERO;
         while now < seconds(6) {
             let before = now.saturating_sub(seconds(1));
-            let overrun = fleet.calls_between(before, now) > 500;
-            fleet.run(now, now + STEP, |_, _| !overrun);
-            now += STEP;
+            let overloaded = fleet.requests_between(before, now) > 500;
+            fleet.run(now, now + TICK, |_, _| !overloaded);
+            now += TICK;
         }
-        assert!(fleet.oldest(now) < seconds(2), "{routers}");
-        let calls = fleet.calls.len();
-        assert!(calls <= 6 * PAGES, "{routers}: {calls}");
+        assert!(fleet.oldest_view(now) < seconds(2), "{routers}");
+        let requests = fleet.requests.len();
+        assert!(requests <= 6 * PAGES, "{routers}: {requests}");
     }
 }
