--- a/crates/dispatch/src/membership/mod.rs
+++ b/crates/dispatch/src/membership/mod.rs
@@ -154,7 +154,7 @@
     /// Whether no packet has arrived for [`ISOLATION_INTERVALS`]: this router is cut off, or all
     /// others have ended.
     #[must_use]
-    pub fn hears_nobody(&self, now: Duration) -> bool {
+    pub fn is_isolated(&self, now: Duration) -> bool {
         now.saturating_sub(self.last_packet) >= self.interval * ISOLATION_INTERVALS
     }
 
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -298,7 +298,7 @@
     /// The same, but for a router that hears nobody: those before it tell it nothing.
     #[must_use]
     pub fn rank_heard(&self, duty: Duty, scope: Scope) -> usize {
-        if self.state.borrow().membership.hears_nobody(self.now()) {
+        if self.state.borrow().membership.is_isolated(self.now()) {
             return 0;
         }
         self.rank(duty, scope)
