--- a/crates/dispatch/src/membership/mod.rs
+++ b/crates/dispatch/src/membership/mod.rs
@@ -164,7 +164,7 @@
     }
 
     /// Up to `count` other routers, drawn at random.
-    pub fn some(&mut self, count: usize) -> Vec<SocketAddr> {
+    pub fn sample(&mut self, count: usize) -> Vec<SocketAddr> {
         self.schedule.sample(count, None, &mut self.random)
     }
 
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -104,7 +104,7 @@
 pub fn spread(node: &Node) {
     let (some, packet) = {
         let mut state = node.state.borrow_mut();
-        let some = state.membership.some(TOLD);
+        let some = state.membership.sample(TOLD);
         if some.is_empty() {
             return;
         }
--- a/crates/path/src/leaving.rs
+++ b/crates/path/src/leaving.rs
@@ -64,7 +64,7 @@
     if new.is_empty() {
         return;
     }
-    let some = node.state.borrow_mut().membership.some(gossip::TOLD);
+    let some = node.state.borrow_mut().membership.sample(gossip::TOLD);
     node.send_all(&some, Content::Leaving(Report::new(new.to_vec())));
 }
 
