--- a/crates/dispatch/src/membership/mod.rs
+++ b/crates/dispatch/src/membership/mod.rs
@@ -169,7 +169,7 @@
     }
 
     /// A packet that only carries updates.
-    pub fn news(&mut self) -> Packet {
+    pub fn gossip(&mut self) -> Packet {
         self.packet(Kind::News)
     }
 
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -108,7 +108,7 @@
         if some.is_empty() {
             return;
         }
-        (some, state.membership.news())
+        (some, state.membership.gossip())
     };
     let views = views(node);
     node.send_all(&some, Content::Greeting(Greeting { packet, views }));
