--- a/crates/dispatch/src/membership/mod.rs
+++ b/crates/dispatch/src/membership/mod.rs
@@ -170,7 +170,7 @@
 
     /// A packet that only carries updates.
     pub fn gossip(&mut self) -> Packet {
-        self.packet(Kind::News)
+        self.packet(Kind::Gossip)
     }
 
     /// A packet with piggybacked updates.
--- a/crates/dispatch/src/membership/receive.rs
+++ b/crates/dispatch/src/membership/receive.rs
@@ -113,7 +113,7 @@
     ) {
         let index = effects.outgoing.iter().position(|it| it.to == to);
         let index = index.unwrap_or_else(|| {
-            let message = self.outgoing(to, Kind::News);
+            let message = self.outgoing(to, Kind::Gossip);
             effects.outgoing.push(message);
             effects.outgoing.len() - 1
         });
@@ -139,7 +139,7 @@
                     .push(self.outgoing(target, Kind::Probe(own)));
             }
             Kind::Pull(sums) => self.send_pages(from, &sums, effects),
-            Kind::News | Kind::Page(_) => {}
+            Kind::Gossip | Kind::Page(_) => {}
         }
     }
 
--- a/crates/dispatch/src/membership/update.rs
+++ b/crates/dispatch/src/membership/update.rs
@@ -78,7 +78,7 @@
         target: SocketAddr,
     },
     /// Only carries updates.
-    News,
+    Gossip,
     /// Requests the members of all buckets whose hashes differ from these.
     Pull(Vec<u32>),
     /// Answers a pull with all members of these buckets, in place of recent updates.
--- a/crates/dispatch/tests/messages.rs
+++ b/crates/dispatch/tests/messages.rs
@@ -178,7 +178,7 @@
     let packet = Packet {
         sender: Update::new(card),
         digest: 0,
-        kind: Kind::News,
+        kind: Kind::Gossip,
         news: Vec::new(),
     };
     let views = Views {
