--- a/crates/dispatch/src/membership/mod.rs
+++ b/crates/dispatch/src/membership/mod.rs
@@ -176,7 +176,7 @@
     /// A packet with piggybacked updates.
     fn packet(&mut self, kind: Kind) -> Packet {
         Packet {
-            news: self.broadcasts.take(self.members.len() + 1),
+            updates: self.broadcasts.take(self.members.len() + 1),
             ..self.packet_without_updates(kind)
         }
     }
@@ -187,7 +187,7 @@
             sender: self.own.clone(),
             digest: self.digest.combined(),
             kind,
-            news: Vec::new(),
+            updates: Vec::new(),
         }
     }
 
--- a/crates/dispatch/src/membership/receive.rs
+++ b/crates/dispatch/src/membership/receive.rs
@@ -44,7 +44,7 @@
             sender,
             digest,
             kind,
-            news,
+            updates,
         } = packet;
         if sender.card.address == self.own.card.address {
             return effects;
@@ -55,12 +55,12 @@
         self.apply(sender, Source::Direct, now, &mut effects);
         let source = match &kind {
             Kind::Page(buckets) => {
-                self.queue_absent(buckets, &news);
+                self.queue_absent(buckets, &updates);
                 Source::Page
             }
             _ => Source::Gossip,
         };
-        for update in news {
+        for update in updates {
             self.apply(update, source, now, &mut effects);
         }
         let compares = source != Source::Page;
@@ -117,7 +117,7 @@
             effects.outgoing.push(message);
             effects.outgoing.len() - 1
         });
-        effects.outgoing[index].packet.news.push(adverse_update);
+        effects.outgoing[index].packet.updates.push(adverse_update);
     }
 
     fn reply(&mut self, from: SocketAddr, kind: Kind, now: Duration, effects: &mut Effects) {
@@ -190,9 +190,9 @@
         members: &mut Vec<Update>,
     ) -> Outgoing {
         let kind = Kind::Page(std::mem::take(buckets));
-        let news = std::mem::take(members);
+        let updates = std::mem::take(members);
         let packet = Packet {
-            news,
+            updates,
             ..self.packet_without_updates(kind)
         };
         Outgoing { to, packet }
--- a/crates/dispatch/src/membership/tick.rs
+++ b/crates/dispatch/src/membership/tick.rs
@@ -120,7 +120,7 @@
             let to = update.card.address;
             let number = self.random.next_u64();
             let mut packet = self.packet_without_updates(Kind::Probe(number));
-            packet.news.push(update);
+            packet.updates.push(update);
             effects.outgoing.push(Outgoing { to, packet });
         }
     }
--- a/crates/dispatch/src/membership/update.rs
+++ b/crates/dispatch/src/membership/update.rs
@@ -95,7 +95,7 @@
     /// Purpose of the packet.
     pub kind: Kind,
     /// Updates that the sender has recently received.
-    pub news: Vec<Update>,
+    pub updates: Vec<Update>,
 }
 
 /// A packet and its receiver.
--- a/crates/dispatch/tests/messages.rs
+++ b/crates/dispatch/tests/messages.rs
@@ -179,7 +179,7 @@
         sender: Update::new(card),
         digest: 0,
         kind: Kind::Gossip,
-        news: Vec::new(),
+        updates: Vec::new(),
     };
     let views = Views {
         configuration: 0,
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -190,7 +190,7 @@
         sender: Update::new(card(1)),
         digest: u32::MAX / 3,
         kind: Kind::Probe(u64::MAX / 3),
-        news: Vec::new(),
+        updates: Vec::new(),
     };
     let reading = Reading {
         reader: u32::MAX / 3,
