--- a/crates/dispatch/src/membership/mod.rs
+++ b/crates/dispatch/src/membership/mod.rs
@@ -218,7 +218,7 @@
         };
         self.digest.toggle(&record.update.card);
         self.schedule.remove(address);
-        self.probes.retain(|it| it.target != address);
+        self.probes.retain(|it| it.member != address);
         let update = record.update.with_status(Status::Ended);
         self.add_tombstone(update.clone(), now);
         self.broadcasts.push(update);
--- a/crates/dispatch/src/membership/probe.rs
+++ b/crates/dispatch/src/membership/probe.rs
@@ -114,7 +114,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Probe {
     pub(super) number: u64,
-    pub(super) target: SocketAddr,
+    pub(super) member: SocketAddr,
     pub(super) sent: Duration,
     /// Whether the probe was sent a second time.
     retried: bool,
@@ -130,10 +130,10 @@
 }
 
 impl Probe {
-    pub(super) fn new(number: u64, target: SocketAddr, now: Duration) -> Self {
+    pub(super) fn new(number: u64, member: SocketAddr, now: Duration) -> Self {
         Self {
             number,
-            target,
+            member,
             sent: now,
             retried: false,
         }
--- a/crates/dispatch/src/membership/receive.rs
+++ b/crates/dispatch/src/membership/receive.rs
@@ -126,7 +126,7 @@
                 .outgoing
                 .push(self.outgoing(from, Kind::Ack(number))),
             Kind::Ack(number) => self.handle_ack(number, now, effects),
-            Kind::Relay { number, target } => {
+            Kind::Relay { number, member } => {
                 let own = self.random.next_u64();
                 self.relays.push(Relay {
                     number: own,
@@ -136,7 +136,7 @@
                 });
                 effects
                     .outgoing
-                    .push(self.outgoing(target, Kind::Probe(own)));
+                    .push(self.outgoing(member, Kind::Probe(own)));
             }
             Kind::Pull(sums) => self.send_pages(from, &sums, effects),
             Kind::Gossip | Kind::Page(_) => {}
@@ -147,7 +147,7 @@
         if let Some(index) = self.probes.iter().position(|it| it.number == number) {
             let probe = self.probes.remove(index);
             let time = probe.round_trip(now);
-            effects.answered.extend(time.map(|it| (probe.target, it)));
+            effects.answered.extend(time.map(|it| (probe.member, it)));
         }
         let relayed = self.relays.iter().position(|it| it.number == number);
         if let Some(index) = relayed {
--- a/crates/dispatch/src/membership/tick.rs
+++ b/crates/dispatch/src/membership/tick.rs
@@ -69,30 +69,30 @@
         let mut retries = Vec::new();
         for probe in &mut self.probes {
             match probe.next_action(interval, now) {
-                Some(Action::Retry) => retries.push((probe.number, probe.target)),
-                Some(Action::Suspect) => suspects.push((probe.number, probe.target)),
+                Some(Action::Retry) => retries.push((probe.number, probe.member)),
+                Some(Action::Suspect) => suspects.push((probe.number, probe.member)),
                 None => {}
             }
         }
-        for (number, target) in retries {
-            effects.missed.push(target);
-            self.retry_probe(number, target, effects);
+        for (number, member) in retries {
+            effects.missed.push(member);
+            self.retry_probe(number, member, effects);
         }
-        for (number, target) in suspects {
-            effects.missed.push(target);
+        for (number, member) in suspects {
+            effects.missed.push(member);
             self.probes.retain(|it| it.number != number);
-            self.suspect(target, now);
+            self.suspect(member, now);
         }
     }
 
-    fn retry_probe(&mut self, number: u64, target: SocketAddr, effects: &mut Effects) {
+    fn retry_probe(&mut self, number: u64, member: SocketAddr, effects: &mut Effects) {
         let packet = self.packet_without_updates(Kind::Probe(number));
-        effects.outgoing.push(Outgoing { to: target, packet });
+        effects.outgoing.push(Outgoing { to: member, packet });
         let relays = self
             .schedule
-            .sample(RELAY_COUNT, Some(target), &mut self.random);
+            .sample(RELAY_COUNT, Some(member), &mut self.random);
         for relay in relays {
-            let kind = Kind::Relay { number, target };
+            let kind = Kind::Relay { number, member };
             effects.outgoing.push(self.outgoing(relay, kind));
         }
     }
@@ -140,10 +140,10 @@
     /// Probes the next member that isn't suspected already.
     fn probe_next(&mut self, now: Duration, effects: &mut Effects) {
         for _ in 0..=self.members.len() {
-            let Some(target) = self.schedule.next(&mut self.random) else {
+            let Some(member) = self.schedule.next(&mut self.random) else {
                 return;
             };
-            if self.probe(target, now, effects) {
+            if self.probe(member, now, effects) {
                 return;
             }
         }
@@ -153,26 +153,26 @@
     fn probe_priority(&mut self, now: Duration, effects: &mut Effects) {
         let mut remaining = MAX_PRIORITY_PROBES;
         while remaining > 0
-            && let Some(target) = self.priority.pop_front()
+            && let Some(member) = self.priority.pop_front()
         {
-            if self.probe(target, now, effects) {
+            if self.probe(member, now, effects) {
                 remaining -= 1;
             }
         }
     }
 
     /// Probes a member; false if it is suspected or has a pending probe.
-    fn probe(&mut self, target: SocketAddr, now: Duration, effects: &mut Effects) -> bool {
-        let record = self.members.get(&target);
+    fn probe(&mut self, member: SocketAddr, now: Duration, effects: &mut Effects) -> bool {
+        let record = self.members.get(&member);
         let alive = record.is_some_and(|it| it.update.status == Status::Alive);
-        if !alive || self.probes.iter().any(|it| it.target == target) {
+        if !alive || self.probes.iter().any(|it| it.member == member) {
             return false;
         }
         let number = self.random.next_u64();
-        self.probes.push(Probe::new(number, target, now));
+        self.probes.push(Probe::new(number, member, now));
         effects
             .outgoing
-            .push(self.outgoing(target, Kind::Probe(number)));
+            .push(self.outgoing(member, Kind::Probe(number)));
         true
     }
 
--- a/crates/dispatch/src/membership/update.rs
+++ b/crates/dispatch/src/membership/update.rs
@@ -75,7 +75,7 @@
         /// Number of the probe at the sender.
         number: u64,
         /// The router to be probed.
-        target: SocketAddr,
+        member: SocketAddr,
     },
     /// Only carries updates.
     Gossip,
