--- a/crates/dispatch/src/membership/mod.rs
+++ b/crates/dispatch/src/membership/mod.rs
@@ -76,7 +76,7 @@
     /// Changes of the membership.
     pub changes: Vec<Change>,
     /// Routers that did not answer a probe of this router in time.
-    pub missed: Vec<SocketAddr>,
+    pub unanswered: Vec<SocketAddr>,
     /// Round-trip times of probes that were sent only once.
     pub answered: Vec<(SocketAddr, Duration)>,
 }
--- a/crates/dispatch/src/membership/tick.rs
+++ b/crates/dispatch/src/membership/tick.rs
@@ -75,11 +75,11 @@
             }
         }
         for (number, member) in retries {
-            effects.missed.push(member);
+            effects.unanswered.push(member);
             self.retry_probe(number, member, effects);
         }
         for (number, member) in suspects {
-            effects.missed.push(member);
+            effects.unanswered.push(member);
             self.probes.retain(|it| it.number != number);
             self.suspect(member, now);
         }
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -245,7 +245,7 @@
                 self.round_trips.note(&domain, *time);
             }
         }
-        for address in &effects.missed {
+        for address in &effects.unanswered {
             // The silence of a router that is about to end says nothing of its domain.
             if !self.members.leaves(*address)
                 && let Some(domain) = self.members.domain(*address)
