--- a/crates/dispatch/src/membership/mod.rs
+++ b/crates/dispatch/src/membership/mod.rs
@@ -78,7 +78,7 @@
     /// Routers that did not answer a probe of this router in time.
     pub unanswered: Vec<SocketAddr>,
     /// Round-trip times of probes that were sent only once.
-    pub answered: Vec<(SocketAddr, Duration)>,
+    pub round_trips: Vec<(SocketAddr, Duration)>,
 }
 
 /// This router's view of the routers that are alive.
--- a/crates/dispatch/src/membership/receive.rs
+++ b/crates/dispatch/src/membership/receive.rs
@@ -147,7 +147,9 @@
         if let Some(index) = self.probes.iter().position(|it| it.number == number) {
             let probe = self.probes.remove(index);
             let time = probe.round_trip(now);
-            effects.answered.extend(time.map(|it| (probe.member, it)));
+            effects
+                .round_trips
+                .extend(time.map(|it| (probe.member, it)));
         }
         let relayed = self.relays.iter().position(|it| it.number == number);
         if let Some(index) = relayed {
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -240,7 +240,7 @@
                 MemberChange::Lost(card) => self.members.remove(card),
             }
         }
-        for (address, time) in &effects.answered {
+        for (address, time) in &effects.round_trips {
             if let Some(domain) = self.members.domain(*address) {
                 self.round_trips.note(&domain, *time);
             }
