--- a/crates/dispatch/src/membership/mod.rs
+++ b/crates/dispatch/src/membership/mod.rs
@@ -202,7 +202,7 @@
         self.schedule.insert(update.card.address, &mut self.random);
         effects
             .changes
-            .push(Change::Heard(update.card.clone(), update.condition));
+            .push(Change::Updated(update.card.clone(), update.condition));
         let record = Record {
             suspected_until: Duration::ZERO,
             suspected_locally: false,
--- a/crates/dispatch/src/membership/receive.rs
+++ b/crates/dispatch/src/membership/receive.rs
@@ -339,7 +339,7 @@
             record.suspected_until = now + self.interval * SUSPICION_INTERVALS;
         }
         if update.condition != record.update.condition {
-            let heard = Change::Heard(update.card.clone(), update.condition);
+            let heard = Change::Updated(update.card.clone(), update.condition);
             effects.changes.push(heard);
         }
         record.update = update.clone();
--- a/crates/dispatch/src/membership/update.rs
+++ b/crates/dispatch/src/membership/update.rs
@@ -111,7 +111,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// A router is new, or its condition has changed.
-    Heard(Card, Condition),
+    Updated(Card, Condition),
     /// A router has ended.
     Lost(Card),
 }
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -70,7 +70,7 @@
     node.state.borrow_mut().apply(&effects, now);
     for change in &effects.changes {
         match change {
-            Change::Heard(..) => node.gossip.came.set(node.gossip.came.get() + 1),
+            Change::Updated(..) => node.gossip.came.set(node.gossip.came.get() + 1),
             Change::Lost(card) => {
                 node.gossip.lost.borrow_mut().push(card.address);
                 node.gossip.lost_at.set(Some(now));
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -234,7 +234,7 @@
     pub(crate) fn apply(&mut self, effects: &Effects, now: Duration) {
         for change in &effects.changes {
             match change {
-                MemberChange::Heard(card, condition) => {
+                MemberChange::Updated(card, condition) => {
                     self.members.hear(card, *condition, now);
                 }
                 MemberChange::Lost(card) => self.members.remove(card),
