--- a/crates/dispatch/src/membership/mod.rs
+++ b/crates/dispatch/src/membership/mod.rs
@@ -222,7 +222,7 @@
         let update = record.update.with_status(Status::Ended);
         self.add_tombstone(update.clone(), now);
         self.broadcasts.push(update);
-        effects.changes.push(Change::Lost(record.update.card));
+        effects.changes.push(Change::Ended(record.update.card));
     }
 
     fn add_tombstone(&mut self, update: Update, now: Duration) {
--- a/crates/dispatch/src/membership/update.rs
+++ b/crates/dispatch/src/membership/update.rs
@@ -113,5 +113,5 @@
     /// A router is new, or its condition has changed.
     Updated(Card, Condition),
     /// A router has ended.
-    Lost(Card),
+    Ended(Card),
 }
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -71,7 +71,7 @@
     for change in &effects.changes {
         match change {
             Change::Updated(..) => node.gossip.came.set(node.gossip.came.get() + 1),
-            Change::Lost(card) => {
+            Change::Ended(card) => {
                 node.gossip.lost.borrow_mut().push(card.address);
                 node.gossip.lost_at.set(Some(now));
             }
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -237,7 +237,7 @@
                 MemberChange::Updated(card, condition) => {
                     self.members.hear(card, *condition, now);
                 }
-                MemberChange::Lost(card) => self.members.remove(card),
+                MemberChange::Ended(card) => self.members.remove(card),
             }
         }
         for (address, time) in &effects.round_trips {
--- a/crates/trial/src/members.rs
+++ b/crates/trial/src/members.rs
@@ -346,7 +346,7 @@
 
     fn carry_out(&mut self, number: usize, effects: Effects) {
         for change in &effects.changes {
-            if let Change::Lost(card) = change {
+            if let Change::Ended(card) = change {
                 self.judge(number, card);
             }
         }
