--- a/crates/dispatch/src/member.rs
+++ b/crates/dispatch/src/member.rs
@@ -34,7 +34,7 @@
 
 /// Description of one start of a router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Card {
+pub struct Descriptor {
     /// Address at which it receives messages.
     pub address: SocketAddr,
     /// Identity of this start.
@@ -91,7 +91,7 @@
 
 #[derive(Clone, Debug)]
 struct Record {
-    card: Card,
+    card: Descriptor,
     discovered_at: Duration,
     condition: Condition,
     misses: u32,
@@ -102,7 +102,7 @@
 /// The live routers.
 #[derive(Clone, Debug)]
 pub struct Members {
-    own: Card,
+    own: Descriptor,
     regions: Arc<Regions>,
     condition: Condition,
     known: HashMap<SocketAddr, Record>,
@@ -121,7 +121,7 @@
 impl Members {
     /// A view that holds only this router.
     #[must_use]
-    pub fn new(own: Card) -> Self {
+    pub fn new(own: Descriptor) -> Self {
         Self {
             own,
             regions: Arc::default(),
@@ -140,7 +140,7 @@
 
     /// This router itself.
     #[must_use]
-    pub fn own(&self) -> &Card {
+    pub fn own(&self) -> &Descriptor {
         &self.own
     }
 
@@ -167,7 +167,7 @@
     }
 
     /// Adds or updates a live router; true if it was not known.
-    pub fn hear(&mut self, card: &Card, condition: Condition, now: Duration) -> bool {
+    pub fn hear(&mut self, card: &Descriptor, condition: Condition, now: Duration) -> bool {
         self.owners.get_mut().clear();
         let known = self.known.get_mut(&card.address);
         if let Some(record) = known.filter(|it| it.card.peer == card.peer) {
@@ -187,7 +187,7 @@
     }
 
     /// Removes a start of a router.
-    pub fn remove(&mut self, card: &Card) {
+    pub fn remove(&mut self, card: &Descriptor) {
         self.owners.get_mut().clear();
         let known = self.known.get(&card.address);
         if known.is_some_and(|it| it.card.peer == card.peer) {
@@ -214,7 +214,7 @@
     }
 
     /// Other live routers.
-    pub fn others(&self) -> impl Iterator<Item = &Card> {
+    pub fn others(&self) -> impl Iterator<Item = &Descriptor> {
         self.known.values().map(|it| &it.card)
     }
 
@@ -317,14 +317,17 @@
 }
 
 /// The router with the highest score for a cell.
-fn highest_score<'a>(cards: impl Iterator<Item = &'a Card>, cell: Cell) -> Option<&'a Card> {
+fn highest_score<'a>(
+    cards: impl Iterator<Item = &'a Descriptor>,
+    cell: Cell,
+) -> Option<&'a Descriptor> {
     cards.max_by(|a, b| score(a, cell).total_cmp(&score(b, cell)))
 }
 
 /// Score of a router as the owner of a cell. Small and large machines serve the same number of
 /// callers, and the work of an owner comes on top of that, so the weight is the square of the CPU
 /// quota.
-fn score(card: &Card, cell: Cell) -> f64 {
+fn score(card: &Descriptor, cell: Cell) -> f64 {
     let region = u64::from(cell.region.0) << 48;
     let seed = region | u64::from(cell.service.0) << 16 | u64::from(cell.index);
     let hash = xxh64(&card.peer.0.to_le_bytes(), seed);
--- a/crates/dispatch/src/membership/digest.rs
+++ b/crates/dispatch/src/membership/digest.rs
@@ -7,7 +7,7 @@
 
 use xxhash_rust::xxh64::xxh64;
 
-use crate::member::Card;
+use crate::member::Descriptor;
 
 /// Number of buckets; at 300 members each holds about ten, a third of a kilobyte.
 const BUCKETS: u8 = 32;
@@ -27,7 +27,7 @@
     }
 
     /// Adds or removes a member.
-    pub(super) fn toggle(&mut self, card: &Card) {
+    pub(super) fn toggle(&mut self, card: &Descriptor) {
         let seed = u64::from(card.address.port());
         let hash = xxh64(&card.peer.0.to_le_bytes(), seed);
         let [a, b, c, d, ..] = hash.to_le_bytes();
@@ -55,7 +55,7 @@
 }
 
 /// The bucket of a member, by its address.
-pub(super) fn bucket(card: &Card) -> u8 {
+pub(super) fn bucket(card: &Descriptor) -> u8 {
     let hash = xxh64(card.address.to_string().as_bytes(), 0);
     u8::try_from(hash % u64::from(BUCKETS)).unwrap_or_default()
 }
--- a/crates/dispatch/src/membership/mod.rs
+++ b/crates/dispatch/src/membership/mod.rs
@@ -28,7 +28,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::member::{Card, Condition};
+use crate::member::{Condition, Descriptor};
 use crate::usage::Peer;
 use broadcast::Queue;
 use digest::Digest;
@@ -112,7 +112,7 @@
 impl Membership {
     /// A router that knows only its seeds; it probes one other router each `interval`.
     #[must_use]
-    pub fn new(own: Card, seeds: &[SocketAddr], interval: Duration) -> Self {
+    pub fn new(own: Descriptor, seeds: &[SocketAddr], interval: Duration) -> Self {
         let seeds = seeds.iter().filter(|it| **it != own.address);
         let mut digest = Digest::new();
         digest.toggle(&own);
@@ -159,7 +159,7 @@
     }
 
     /// Other routers that count as alive.
-    pub fn others(&self) -> impl Iterator<Item = &Card> {
+    pub fn others(&self) -> impl Iterator<Item = &Descriptor> {
         self.members.values().map(|it| &it.update.card)
     }
 
--- a/crates/dispatch/src/membership/update.rs
+++ b/crates/dispatch/src/membership/update.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::member::{Card, Condition};
+use crate::member::{Condition, Descriptor};
 
 /// Liveness of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// The router.
-    pub card: Card,
+    pub card: Descriptor,
     /// Number of times that it has announced a change or refuted a suspicion.
     pub incarnation: u32,
     /// Whether it may own cells.
@@ -38,7 +38,7 @@
 impl Update {
     /// A router that has just started.
     #[must_use]
-    pub fn new(card: Card) -> Self {
+    pub fn new(card: Descriptor) -> Self {
         Self {
             card,
             incarnation: 0,
@@ -111,7 +111,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// A router is new, or its condition has changed.
-    Updated(Card, Condition),
+    Updated(Descriptor, Condition),
     /// A router has ended.
-    Ended(Card),
+    Ended(Descriptor),
 }
--- a/crates/dispatch/tests/cells.rs
+++ b/crates/dispatch/tests/cells.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dunlinward_dispatch::cell::{self, Cell, ServiceTag};
-use dunlinward_dispatch::member::{Card, Condition, Duty, Members, Scope};
+use dunlinward_dispatch::member::{Condition, Descriptor, Duty, Members, Scope};
 use dunlinward_dispatch::prefix::{Part, Prefix, Prompt};
 use dunlinward_dispatch::region::Region;
 use dunlinward_dispatch::registry::Registry;
@@ -78,8 +78,8 @@
     assert_eq!(cell::count(600, cell::TARGETS), 12);
 }
 
-fn card(number: u8) -> Card {
-    Card {
+fn card(number: u8) -> Descriptor {
+    Descriptor {
         address: ([10, 0, 0, number], 7_400).into(),
         peer: Peer(u64::from(number)),
         domain: if number.is_multiple_of(2) {
@@ -175,7 +175,7 @@
     let mut members = view(1, &[2, 3]);
     members.remove(&card(2));
     assert_eq!((members.count(), members.knows(address(3))), (2, true));
-    let restarted = Card {
+    let restarted = Descriptor {
         peer: Peer(99),
         ..card(3)
     };
--- a/crates/dispatch/tests/messages.rs
+++ b/crates/dispatch/tests/messages.rs
@@ -4,7 +4,7 @@
 
 use dunlinward_dispatch::cell::{Cell, ServiceTag};
 use dunlinward_dispatch::content::ContentTag;
-use dunlinward_dispatch::member::Card;
+use dunlinward_dispatch::member::Descriptor;
 use dunlinward_dispatch::membership::{Kind, Packet, Update};
 use dunlinward_dispatch::prefix::{Part, Prompt};
 use dunlinward_dispatch::region::Region;
@@ -169,7 +169,7 @@
 }
 
 fn greeting(era: u64) -> Content {
-    let card = Card {
+    let card = Descriptor {
         address: ([127, 0, 0, 1], 1).into(),
         peer: Peer(1),
         domain: "a".into(),
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -13,7 +13,7 @@
 use dunlinward_dispatch::cache::Held;
 use dunlinward_dispatch::cell::{self, Cell, ServiceTag};
 use dunlinward_dispatch::content::ContentTag;
-use dunlinward_dispatch::member::{Card, Condition, Members};
+use dunlinward_dispatch::member::{Condition, Descriptor, Members};
 use dunlinward_dispatch::membership::{Kind, Packet, Update};
 use dunlinward_dispatch::placement::{self, Ask as Wanted, Candidate, Policy};
 use dunlinward_dispatch::prefix::{Part, Prompt};
@@ -175,9 +175,9 @@
     bytes.expect("a message encodes").len()
 }
 
-fn card(number: u32) -> Card {
+fn card(number: u32) -> Descriptor {
     let [_, _, high, low] = number.to_be_bytes();
-    Card {
+    Descriptor {
         address: ([10, 1, high, low], 7400).into(),
         peer: Peer(u64::from(number) * 0x9e37_79b9),
         domain: "hall-a".into(),
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -19,7 +19,7 @@
 use dunlinward_dispatch::evacuation::{self, Evacuations};
 use dunlinward_dispatch::grants::Grants;
 use dunlinward_dispatch::health::{Health, Outcome};
-use dunlinward_dispatch::member::{Card, Members};
+use dunlinward_dispatch::member::{Descriptor, Members};
 use dunlinward_dispatch::membership::{Change as MemberChange, Effects, Membership};
 use dunlinward_dispatch::prefix::{Memory, Prompt};
 use dunlinward_dispatch::quarantine::Ledger;
@@ -169,7 +169,7 @@
 impl State {
     /// Nothing known yet.
     pub(crate) fn new(settings: &Settings, peer: Peer) -> Self {
-        let card = Card {
+        let card = Descriptor {
             address: settings.link,
             peer,
             domain: settings.domain.clone(),
--- a/crates/trial/src/members.rs
+++ b/crates/trial/src/members.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use bincode::config::standard;
-use dunlinward_dispatch::member::Card;
+use dunlinward_dispatch::member::Descriptor;
 use dunlinward_dispatch::membership::{Change, Effects, Membership, Packet};
 use dunlinward_dispatch::usage::Peer;
 use rand::{Rng, SeedableRng};
@@ -82,7 +82,7 @@
 
 struct Router {
     membership: Membership,
-    card: Card,
+    card: Descriptor,
     domain: usize,
     runs: bool,
     /// Number of its start.
@@ -159,12 +159,12 @@
         fleet
     }
 
-    fn card(&self, number: usize, start: u64) -> Card {
+    fn card(&self, number: usize, start: u64) -> Descriptor {
         let place = u64::try_from(number).unwrap_or_default();
         let [.., high, low] = place.to_be_bytes();
         let domain = number % self.plan.domains;
         let identity = place << 32 | start << 8 | self.plan.seed;
-        Card {
+        Descriptor {
             address: ([10, 1, high, low], 7_400).into(),
             peer: Peer(identity.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
             domain: Arc::from(format!("domain-{domain}")),
@@ -172,7 +172,7 @@
         }
     }
 
-    fn membership(&self, card: Card) -> Membership {
+    fn membership(&self, card: Descriptor) -> Membership {
         let seeds = (0..SEEDS.min(self.plan.routers)).map(|it| self.card(it, 1).address);
         let seeds: Vec<_> = seeds.collect();
         Membership::new(card, &seeds, self.plan.interval)
@@ -370,7 +370,7 @@
         }
     }
 
-    fn judge(&mut self, by: usize, card: &Card) {
+    fn judge(&mut self, by: usize, card: &Descriptor) {
         let Some(&number) = self.places.get(&card.address) else {
             return;
         };
