--- a/crates/dispatch/src/member.rs
+++ b/crates/dispatch/src/member.rs
@@ -91,7 +91,7 @@
 
 #[derive(Clone, Debug)]
 struct Record {
-    card: Descriptor,
+    router: Descriptor,
     discovered_at: Duration,
     condition: Condition,
     misses: u32,
@@ -167,31 +167,31 @@
     }
 
     /// Adds or updates a live router; true if it was not known.
-    pub fn hear(&mut self, card: &Descriptor, condition: Condition, now: Duration) -> bool {
+    pub fn hear(&mut self, router: &Descriptor, condition: Condition, now: Duration) -> bool {
         self.owners.get_mut().clear();
-        let known = self.known.get_mut(&card.address);
-        if let Some(record) = known.filter(|it| it.card.peer == card.peer) {
+        let known = self.known.get_mut(&router.address);
+        if let Some(record) = known.filter(|it| it.router.peer == router.peer) {
             record.condition = condition;
             return false;
         }
         let record = Record {
-            card: card.clone(),
+            router: router.clone(),
             discovered_at: now,
             condition,
             misses: 0,
             exclusions: 0,
             excluded_until: Duration::ZERO,
         };
-        self.known.insert(card.address, record);
+        self.known.insert(router.address, record);
         true
     }
 
     /// Removes a start of a router.
-    pub fn remove(&mut self, card: &Descriptor) {
+    pub fn remove(&mut self, router: &Descriptor) {
         self.owners.get_mut().clear();
-        let known = self.known.get(&card.address);
-        if known.is_some_and(|it| it.card.peer == card.peer) {
-            self.known.remove(&card.address);
+        let known = self.known.get(&router.address);
+        if known.is_some_and(|it| it.router.peer == router.peer) {
+            self.known.remove(&router.address);
         }
     }
 
@@ -208,28 +208,28 @@
         let own = score(&self.own, duty.cell());
         let others = self.known.values();
         let others = others.filter(|it| it.condition != Condition::Leaving);
-        let others = others.map(|it| &it.card);
+        let others = others.map(|it| &it.router);
         let near = others.filter(|it| scope == Scope::All || it.domain == self.own.domain);
         near.filter(|it| score(it, duty.cell()) > own).count()
     }
 
     /// Other live routers.
     pub fn others(&self) -> impl Iterator<Item = &Descriptor> {
-        self.known.values().map(|it| &it.card)
+        self.known.values().map(|it| &it.router)
     }
 
     /// Address of a live start of a router.
     #[must_use]
     pub fn address(&self, peer: Peer) -> Option<SocketAddr> {
-        let card = self.others().find(|it| it.peer == peer);
-        card.map(|it| it.address)
+        let router = self.others().find(|it| it.peer == peer);
+        router.map(|it| it.address)
     }
 
     /// The failure domain of a live router.
     #[must_use]
     pub fn domain(&self, address: SocketAddr) -> Option<Arc<str>> {
         let record = self.known.get(&address)?;
-        Some(record.card.domain.clone())
+        Some(record.router.domain.clone())
     }
 
     /// Whether a router is known.
@@ -276,12 +276,12 @@
         for condition in [Condition::Sound, Condition::Behind] {
             let others = settled.iter().filter(|it| it.condition == condition);
             let own = (self.condition == condition).then_some(&self.own);
-            let cards: Vec<_> = others.map(|it| &it.card).chain(own).collect();
+            let routers: Vec<_> = others.map(|it| &it.router).chain(own).collect();
             // A router of another region is chosen only if the cell's region has none.
-            let near = cards.iter().copied();
+            let near = routers.iter().copied();
             let near = near.filter(|it| self.regions.of(&it.domain) == cell.region);
             let best =
-                highest_score(near, cell).or_else(|| highest_score(cards.iter().copied(), cell));
+                highest_score(near, cell).or_else(|| highest_score(routers.iter().copied(), cell));
             if let Some(best) = best {
                 return best.address;
             }
@@ -318,19 +318,19 @@
 
 /// The router with the highest score for a cell.
 fn highest_score<'a>(
-    cards: impl Iterator<Item = &'a Descriptor>,
+    routers: impl Iterator<Item = &'a Descriptor>,
     cell: Cell,
 ) -> Option<&'a Descriptor> {
-    cards.max_by(|a, b| score(a, cell).total_cmp(&score(b, cell)))
+    routers.max_by(|a, b| score(a, cell).total_cmp(&score(b, cell)))
 }
 
 /// Score of a router as the owner of a cell. Small and large machines serve the same number of
 /// callers, and the work of an owner comes on top of that, so the weight is the square of the CPU
 /// quota.
-fn score(card: &Descriptor, cell: Cell) -> f64 {
+fn score(router: &Descriptor, cell: Cell) -> f64 {
     let region = u64::from(cell.region.0) << 48;
     let seed = region | u64::from(cell.service.0) << 16 | u64::from(cell.index);
-    let hash = xxh64(&card.peer.0.to_le_bytes(), seed);
-    let weight = f64::from(card.millicores.max(1)).powi(2);
+    let hash = xxh64(&router.peer.0.to_le_bytes(), seed);
+    let weight = f64::from(router.millicores.max(1)).powi(2);
     cell::score(hash, weight)
 }
--- a/crates/dispatch/src/membership/broadcast.rs
+++ b/crates/dispatch/src/membership/broadcast.rs
@@ -37,7 +37,7 @@
     /// Adds an update, replacing an older one about the same peer.
     pub(super) fn push(&mut self, update: Update) {
         self.items
-            .retain(|it| it.update.card.peer != update.card.peer);
+            .retain(|it| it.update.router.peer != update.router.peer);
         self.items.push(Item {
             update,
             sent: 0,
--- a/crates/dispatch/src/membership/digest.rs
+++ b/crates/dispatch/src/membership/digest.rs
@@ -27,11 +27,11 @@
     }
 
     /// Adds or removes a member.
-    pub(super) fn toggle(&mut self, card: &Descriptor) {
-        let seed = u64::from(card.address.port());
-        let hash = xxh64(&card.peer.0.to_le_bytes(), seed);
+    pub(super) fn toggle(&mut self, router: &Descriptor) {
+        let seed = u64::from(router.address.port());
+        let hash = xxh64(&router.peer.0.to_le_bytes(), seed);
         let [a, b, c, d, ..] = hash.to_le_bytes();
-        self.buckets[usize::from(bucket(card))] ^= u32::from_le_bytes([a, b, c, d]);
+        self.buckets[usize::from(bucket(router))] ^= u32::from_le_bytes([a, b, c, d]);
     }
 
     /// The digest over all buckets.
@@ -55,7 +55,7 @@
 }
 
 /// The bucket of a member, by its address.
-pub(super) fn bucket(card: &Descriptor) -> u8 {
-    let hash = xxh64(card.address.to_string().as_bytes(), 0);
+pub(super) fn bucket(router: &Descriptor) -> u8 {
+    let hash = xxh64(router.address.to_string().as_bytes(), 0);
     u8::try_from(hash % u64::from(BUCKETS)).unwrap_or_default()
 }
--- a/crates/dispatch/src/membership/mod.rs
+++ b/crates/dispatch/src/membership/mod.rs
@@ -160,7 +160,7 @@
 
     /// Other routers that count as alive.
     pub fn others(&self) -> impl Iterator<Item = &Descriptor> {
-        self.members.values().map(|it| &it.update.card)
+        self.members.values().map(|it| &it.update.router)
     }
 
     /// Up to `count` other routers, drawn at random.
@@ -198,17 +198,18 @@
 
     /// Adds a new router.
     fn insert(&mut self, update: Update, effects: &mut Effects) {
-        self.digest.toggle(&update.card);
-        self.schedule.insert(update.card.address, &mut self.random);
+        self.digest.toggle(&update.router);
+        self.schedule
+            .insert(update.router.address, &mut self.random);
         effects
             .changes
-            .push(Change::Updated(update.card.clone(), update.condition));
+            .push(Change::Updated(update.router.clone(), update.condition));
         let record = Record {
             suspected_until: Duration::ZERO,
             suspected_locally: false,
             update,
         };
-        self.members.insert(record.update.card.address, record);
+        self.members.insert(record.update.router.address, record);
     }
 
     /// Removes a router and adds a tombstone, so that no older update brings it back.
@@ -216,13 +217,13 @@
         let Some(record) = self.members.remove(&address) else {
             return;
         };
-        self.digest.toggle(&record.update.card);
+        self.digest.toggle(&record.update.router);
         self.schedule.remove(address);
         self.probes.retain(|it| it.member != address);
         let update = record.update.with_status(Status::Ended);
         self.add_tombstone(update.clone(), now);
         self.broadcasts.push(update);
-        effects.changes.push(Change::Ended(record.update.card));
+        effects.changes.push(Change::Ended(record.update.router));
     }
 
     fn add_tombstone(&mut self, update: Update, now: Duration) {
@@ -232,7 +233,7 @@
                 self.tombstones.remove(&peer);
             }
         }
-        let peer = update.card.peer;
+        let peer = update.router.peer;
         self.tombstones.insert(peer, Tombstone { update, at: now });
     }
 }
--- a/crates/dispatch/src/membership/receive.rs
+++ b/crates/dispatch/src/membership/receive.rs
@@ -46,11 +46,11 @@
             kind,
             updates,
         } = packet;
-        if sender.card.address == self.own.card.address {
+        if sender.router.address == self.own.router.address {
             return effects;
         }
         self.record_contact(now);
-        let from = sender.card.address;
+        let from = sender.router.address;
         let adverse_update = self.adverse_update(&sender);
         self.apply(sender, Source::Direct, now, &mut effects);
         let source = match &kind {
@@ -94,10 +94,16 @@
     /// The suspicion or tombstone that this router holds against a sender and that the sender
     /// hasn't refuted.
     fn adverse_update(&self, sender: &Update) -> Option<Update> {
-        let known = self.members.get(&sender.card.address).map(|it| &it.update);
-        let ended = self.tombstones.get(&sender.card.peer).map(|it| &it.update);
+        let known = self
+            .members
+            .get(&sender.router.address)
+            .map(|it| &it.update);
+        let ended = self
+            .tombstones
+            .get(&sender.router.peer)
+            .map(|it| &it.update);
         let record = known
-            .filter(|it| it.card.peer == sender.card.peer)
+            .filter(|it| it.router.peer == sender.router.peer)
             .or(ended)?;
         let adverse = record.status != Status::Alive && record.incarnation >= sender.incarnation;
         adverse.then(|| record.clone())
@@ -169,7 +175,7 @@
             let known = self.members.values().map(|it| &it.update);
             members.extend(
                 known
-                    .filter(|it| digest::bucket(&it.card) == bucket)
+                    .filter(|it| digest::bucket(&it.router) == bucket)
                     .cloned(),
             );
             if members.len() >= PAGE_MEMBERS {
@@ -203,10 +209,10 @@
     /// Queues members that another router doesn't know for an early probe: this router may have
     /// missed the update about their end.
     fn queue_absent(&mut self, buckets: &[u8], reported: &[Update]) {
-        let known = self.members.values().map(|it| &it.update.card);
-        let absent = known.filter(|card| {
-            let reported = reported.iter().any(|it| it.card.peer == card.peer);
-            !reported && buckets.contains(&digest::bucket(card))
+        let known = self.members.values().map(|it| &it.update.router);
+        let absent = known.filter(|router| {
+            let reported = reported.iter().any(|it| it.router.peer == router.peer);
+            !reported && buckets.contains(&digest::bucket(router))
         });
         let absent: Vec<_> = absent.map(|it| it.address).collect();
         for address in absent {
@@ -251,32 +257,32 @@
     }
 
     fn apply(&mut self, update: Update, source: Source, now: Duration, effects: &mut Effects) {
-        let card = &update.card;
-        if card.peer == self.own.card.peer {
+        let router = &update.router;
+        if router.peer == self.own.router.peer {
             self.refute(&update);
             return;
         }
-        if card.address == self.own.card.address {
+        if router.address == self.own.router.address {
             // An earlier start of this router.
             return;
         }
         let ended = self
             .tombstones
-            .get(&card.peer)
+            .get(&router.peer)
             .map(|it| it.update.incarnation);
         if ended.is_some_and(|it| it >= update.incarnation) {
             return;
         }
-        let known = self.members.get(&card.address).map(|it| &it.update);
+        let known = self.members.get(&router.address).map(|it| &it.update);
         let suspected = known.is_some_and(|it| it.status == Status::Suspect);
-        match known.map(|it| it.card.peer == card.peer) {
+        match known.map(|it| it.router.peer == router.peer) {
             Some(true) => self.update_member(update, source, now, effects),
             Some(false) | None if update.status == Status::Ended => self.add_tombstone(update, now),
             Some(false) if source == Source::Direct || suspected => {
-                self.mark_ended(update.card.address, now, effects);
+                self.mark_ended(update.router.address, now, effects);
                 self.add_member(&update, source, effects);
             }
-            Some(false) => self.conflicting.push(card.address),
+            Some(false) => self.conflicting.push(router.address),
             None => self.add_member(&update, source, effects),
         }
     }
@@ -295,7 +301,7 @@
 
     /// Adds a router that was not known.
     fn add_member(&mut self, update: &Update, source: Source, effects: &mut Effects) {
-        self.tombstones.remove(&update.card.peer);
+        self.tombstones.remove(&update.router.peer);
         if source != Source::Page {
             self.broadcasts.push(update.clone());
         }
@@ -310,7 +316,7 @@
         now: Duration,
         effects: &mut Effects,
     ) {
-        let address = update.card.address;
+        let address = update.router.address;
         let Some(record) = self.members.get_mut(&address) else {
             return;
         };
@@ -339,7 +345,7 @@
             record.suspected_until = now + self.interval * SUSPICION_INTERVALS;
         }
         if update.condition != record.update.condition {
-            let heard = Change::Updated(update.card.clone(), update.condition);
+            let heard = Change::Updated(update.router.clone(), update.condition);
             effects.changes.push(heard);
         }
         record.update = update.clone();
--- a/crates/dispatch/src/membership/tick.rs
+++ b/crates/dispatch/src/membership/tick.rs
@@ -117,7 +117,7 @@
             records.filter(|it| it.update.status == Status::Suspect && it.suspected_locally);
         let suspected_locally: Vec<_> = suspected_locally.map(|it| it.update.clone()).collect();
         for update in suspected_locally {
-            let to = update.card.address;
+            let to = update.router.address;
             let number = self.random.next_u64();
             let mut packet = self.packet_without_updates(Kind::Probe(number));
             packet.updates.push(update);
@@ -212,7 +212,7 @@
         for seed in unknown.collect::<Vec<_>>() {
             effects.outgoing.push(self.pull(seed, now));
         }
-        let ended = self.tombstones.values().map(|it| it.update.card.address);
+        let ended = self.tombstones.values().map(|it| it.update.router.address);
         let ended = ended.filter(|it| !self.members.contains_key(it));
         let ended: Vec<_> = ended.filter(|it| !self.seeds.contains(it)).collect();
         if !ended.is_empty() {
--- a/crates/dispatch/src/membership/update.rs
+++ b/crates/dispatch/src/membership/update.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// The router.
-    pub card: Descriptor,
+    pub router: Descriptor,
     /// Number of times that it has announced a change or refuted a suspicion.
     pub incarnation: u32,
     /// Whether it may own cells.
@@ -38,9 +38,9 @@
 impl Update {
     /// A router that has just started.
     #[must_use]
-    pub fn new(card: Descriptor) -> Self {
+    pub fn new(router: Descriptor) -> Self {
         Self {
-            card,
+            router,
             incarnation: 0,
             condition: Condition::Sound,
             status: Status::Alive,
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -133,7 +133,7 @@
 /// Takes a greeting.
 pub fn hear(node: &Rc<Node>, greeting: Greeting) {
     let Greeting { packet, views } = greeting;
-    let card = packet.sender.card.clone();
+    let card = packet.sender.router.clone();
     if card.address == node.settings.link {
         return;
     }
