--- a/crates/dispatch/src/member.rs
+++ b/crates/dispatch/src/member.rs
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Condition {
     /// Eligible.
-    Sound,
+    Healthy,
     /// Overloaded: doesn't keep up with its callers.
     Behind,
     /// Shutting down.
@@ -125,7 +125,7 @@
         Self {
             own,
             regions: Arc::default(),
-            condition: Condition::Sound,
+            condition: Condition::Healthy,
             known: HashMap::new(),
             owners: RefCell::default(),
         }
@@ -161,7 +161,7 @@
         self.condition = match (self.condition, behind) {
             (Condition::Leaving, _) => Condition::Leaving,
             (_, true) => Condition::Behind,
-            (_, false) => Condition::Sound,
+            (_, false) => Condition::Healthy,
         };
         self.owners.get_mut().clear();
     }
@@ -273,7 +273,7 @@
         let any_settled = self.known.values().any(|it| settled(&it));
         let settled: Vec<_> = included.filter(|it| !any_settled || settled(it)).collect();
         // An overloaded router is preferred over one that knows nothing of the cell.
-        for condition in [Condition::Sound, Condition::Behind] {
+        for condition in [Condition::Healthy, Condition::Behind] {
             let others = settled.iter().filter(|it| it.condition == condition);
             let own = (self.condition == condition).then_some(&self.own);
             let routers: Vec<_> = others.map(|it| &it.router).chain(own).collect();
--- a/crates/dispatch/src/membership/update.rs
+++ b/crates/dispatch/src/membership/update.rs
@@ -42,7 +42,7 @@
         Self {
             router,
             incarnation: 0,
-            condition: Condition::Sound,
+            condition: Condition::Healthy,
             status: Status::Alive,
         }
     }
