--- a/crates/dispatch/src/member.rs
+++ b/crates/dispatch/src/member.rs
@@ -84,7 +84,7 @@
     /// Eligible.
     Healthy,
     /// Overloaded: doesn't keep up with its callers.
-    Behind,
+    Overloaded,
     /// Shutting down.
     Leaving,
 }
@@ -160,7 +160,7 @@
     pub fn set_behind(&mut self, behind: bool) {
         self.condition = match (self.condition, behind) {
             (Condition::Leaving, _) => Condition::Leaving,
-            (_, true) => Condition::Behind,
+            (_, true) => Condition::Overloaded,
             (_, false) => Condition::Healthy,
         };
         self.owners.get_mut().clear();
@@ -273,7 +273,7 @@
         let any_settled = self.known.values().any(|it| settled(&it));
         let settled: Vec<_> = included.filter(|it| !any_settled || settled(it)).collect();
         // An overloaded router is preferred over one that knows nothing of the cell.
-        for condition in [Condition::Healthy, Condition::Behind] {
+        for condition in [Condition::Healthy, Condition::Overloaded] {
             let others = settled.iter().filter(|it| it.condition == condition);
             let own = (self.condition == condition).then_some(&self.own);
             let routers: Vec<_> = others.map(|it| &it.router).chain(own).collect();
--- a/crates/dispatch/tests/cells.rs
+++ b/crates/dispatch/tests/cells.rs
@@ -137,7 +137,7 @@
         owners.collect::<std::collections::HashSet<_>>()
     };
     assert!(owners(&members, ms(2_000)).contains(&address(2)));
-    members.hear(&card(2), Condition::Behind, ms(1_900));
+    members.hear(&card(2), Condition::Overloaded, ms(1_900));
     members.hear(&card(3), Condition::Leaving, ms(1_900));
     assert_eq!(owners(&members, ms(2_000)), [address(1)].into());
     members.set_behind(true);
