--- a/crates/dispatch/src/member.rs
+++ b/crates/dispatch/src/member.rs
@@ -157,8 +157,8 @@
     }
 
     /// Marks this router as overloaded, or as eligible again.
-    pub fn set_behind(&mut self, behind: bool) {
-        self.condition = match (self.condition, behind) {
+    pub fn set_overloaded(&mut self, overloaded: bool) {
+        self.condition = match (self.condition, overloaded) {
             (Condition::Leaving, _) => Condition::Leaving,
             (_, true) => Condition::Overloaded,
             (_, false) => Condition::Healthy,
--- a/crates/dispatch/tests/cells.rs
+++ b/crates/dispatch/tests/cells.rs
@@ -140,9 +140,9 @@
     members.hear(&card(2), Condition::Overloaded, ms(1_900));
     members.hear(&card(3), Condition::Leaving, ms(1_900));
     assert_eq!(owners(&members, ms(2_000)), [address(1)].into());
-    members.set_behind(true);
+    members.set_overloaded(true);
     assert_eq!(owners(&members, ms(2_000)).len(), 2);
-    members.set_behind(false);
+    members.set_overloaded(false);
     members.hear(&card(2), Condition::Healthy, ms(2_000));
     members.hear(&card(4), Condition::Healthy, ms(2_000));
     assert!(!owners(&members, ms(2_100)).contains(&address(4)));
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -257,7 +257,7 @@
 
     /// This router doesn't keep up, or does again.
     pub(crate) fn set_behind(&mut self, behind: bool) {
-        self.members.set_behind(behind);
+        self.members.set_overloaded(behind);
         self.membership.set_condition(self.members.condition());
     }
 
