--- a/crates/dispatch/src/member.rs
+++ b/crates/dispatch/src/member.rs
@@ -167,7 +167,7 @@
     }
 
     /// Adds or updates a live router; true if it was not known.
-    pub fn hear(&mut self, router: &Descriptor, condition: Condition, now: Duration) -> bool {
+    pub fn upsert(&mut self, router: &Descriptor, condition: Condition, now: Duration) -> bool {
         self.owners.get_mut().clear();
         let known = self.known.get_mut(&router.address);
         if let Some(record) = known.filter(|it| it.router.peer == router.peer) {
--- a/crates/dispatch/tests/cells.rs
+++ b/crates/dispatch/tests/cells.rs
@@ -100,7 +100,7 @@
 fn view(own: u8, others: &[u8]) -> Members {
     let mut members = Members::new(card(own));
     for number in others {
-        members.hear(&card(*number), Condition::Healthy, ms(0));
+        members.upsert(&card(*number), Condition::Healthy, ms(0));
     }
     members
 }
@@ -137,14 +137,14 @@
         owners.collect::<std::collections::HashSet<_>>()
     };
     assert!(owners(&members, ms(2_000)).contains(&address(2)));
-    members.hear(&card(2), Condition::Overloaded, ms(1_900));
-    members.hear(&card(3), Condition::Leaving, ms(1_900));
+    members.upsert(&card(2), Condition::Overloaded, ms(1_900));
+    members.upsert(&card(3), Condition::Leaving, ms(1_900));
     assert_eq!(owners(&members, ms(2_000)), [address(1)].into());
     members.set_overloaded(true);
     assert_eq!(owners(&members, ms(2_000)).len(), 2);
     members.set_overloaded(false);
-    members.hear(&card(2), Condition::Healthy, ms(2_000));
-    members.hear(&card(4), Condition::Healthy, ms(2_000));
+    members.upsert(&card(2), Condition::Healthy, ms(2_000));
+    members.upsert(&card(4), Condition::Healthy, ms(2_000));
     assert!(!owners(&members, ms(2_100)).contains(&address(4)));
     assert!(owners(&members, ms(3_600)).contains(&address(4)));
     members.leave();
@@ -179,8 +179,8 @@
         peer: Peer(99),
         ..card(3)
     };
-    assert!(members.hear(&restarted, Condition::Healthy, ms(2_700)));
-    assert!(!members.hear(&restarted, Condition::Healthy, ms(2_800)));
+    assert!(members.upsert(&restarted, Condition::Healthy, ms(2_700)));
+    assert!(!members.upsert(&restarted, Condition::Healthy, ms(2_800)));
     // The end of an earlier start doesn't remove the current one.
     members.remove(&card(3));
     assert!(members.knows(address(3)));
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -305,7 +305,7 @@
 fn owner(size: &Size) -> f64 {
     let mut members = Members::new(card(0));
     for number in 1..size.routers {
-        members.hear(&card(number), Condition::Healthy, Duration::ZERO);
+        members.upsert(&card(number), Condition::Healthy, Duration::ZERO);
     }
     let now = Duration::from_secs(5);
     time(|| members.owner(black_box(a_cell()), now))
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -235,7 +235,7 @@
         for change in &effects.changes {
             match change {
                 MemberChange::Updated(card, condition) => {
-                    self.members.hear(card, *condition, now);
+                    self.members.upsert(card, *condition, now);
                 }
                 MemberChange::Ended(card) => self.members.remove(card),
             }
