--- a/crates/dispatch/src/member.rs
+++ b/crates/dispatch/src/member.rs
@@ -197,7 +197,7 @@
 
     /// Whether a router is shutting down.
     #[must_use]
-    pub fn leaves(&self, address: SocketAddr) -> bool {
+    pub fn is_leaving(&self, address: SocketAddr) -> bool {
         let record = self.known.get(&address);
         record.is_some_and(|it| it.condition == Condition::Leaving)
     }
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -247,7 +247,7 @@
         }
         for address in &effects.unanswered {
             // The silence of a router that is about to end says nothing of its domain.
-            if !self.members.leaves(*address)
+            if !self.members.is_leaving(*address)
                 && let Some(domain) = self.members.domain(*address)
             {
                 self.reach.miss(&domain);
