--- a/crates/dispatch/src/member.rs
+++ b/crates/dispatch/src/member.rs
@@ -234,7 +234,7 @@
 
     /// Whether a router is known.
     #[must_use]
-    pub fn knows(&self, address: SocketAddr) -> bool {
+    pub fn contains(&self, address: SocketAddr) -> bool {
         self.known.contains_key(&address)
     }
 
--- a/crates/dispatch/tests/cells.rs
+++ b/crates/dispatch/tests/cells.rs
@@ -174,7 +174,7 @@
 fn ended_routers_are_removed_and_a_restarted_one_is_new() {
     let mut members = view(1, &[2, 3]);
     members.remove(&card(2));
-    assert_eq!((members.count(), members.knows(address(3))), (2, true));
+    assert_eq!((members.count(), members.contains(address(3))), (2, true));
     let restarted = Descriptor {
         peer: Peer(99),
         ..card(3)
@@ -183,7 +183,7 @@
     assert!(!members.upsert(&restarted, Condition::Healthy, ms(2_800)));
     // The end of an earlier start doesn't remove the current one.
     members.remove(&card(3));
-    assert!(members.knows(address(3)));
+    assert!(members.contains(address(3)));
     members.remove(&restarted);
     assert_eq!(members.count(), 1);
 }
