--- a/crates/dispatch/src/member.rs
+++ b/crates/dispatch/src/member.rs
@@ -290,7 +290,7 @@
     }
 
     /// Records that a router left a request unanswered; true if it is excluded from now on.
-    pub fn missed(&mut self, address: SocketAddr, now: Duration) -> bool {
+    pub fn record_miss(&mut self, address: SocketAddr, now: Duration) -> bool {
         let Some(record) = self.known.get_mut(&address) else {
             return false;
         };
--- a/crates/dispatch/tests/cells.rs
+++ b/crates/dispatch/tests/cells.rs
@@ -158,14 +158,14 @@
         .map(cell_at)
         .find(|it| members.owner(*it, ms(2_000)) == address(2));
     let cell = cell.unwrap();
-    assert!(!members.missed(address(2), ms(2_000)));
+    assert!(!members.record_miss(address(2), ms(2_000)));
     members.answered(address(2));
-    assert!(!members.missed(address(2), ms(2_000)));
-    assert!(members.missed(address(2), ms(2_000)));
+    assert!(!members.record_miss(address(2), ms(2_000)));
+    assert!(members.record_miss(address(2), ms(2_000)));
     assert_eq!(members.owner(cell, ms(2_400)), address(1));
     assert_eq!(members.owner(cell, ms(2_500)), address(2));
-    assert!(!members.missed(address(2), ms(2_500)));
-    assert!(members.missed(address(2), ms(2_500)));
+    assert!(!members.record_miss(address(2), ms(2_500)));
+    assert!(members.record_miss(address(2), ms(2_500)));
     assert_eq!(members.owner(cell, ms(3_400)), address(1));
     assert_eq!(members.owner(cell, ms(3_500)), address(2));
 }
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -179,7 +179,11 @@
 
     fn missed(&self, owner: SocketAddr) -> bool {
         self.metrics.add("owner_misses", "unanswered", 1);
-        let passed = self.state.borrow_mut().members.missed(owner, self.now());
+        let passed = self
+            .state
+            .borrow_mut()
+            .members
+            .record_miss(owner, self.now());
         if passed {
             let line = self.journal.line("owner_passed_over");
             drop(line.with("peer", owner.to_string()));
