--- a/crates/dispatch/src/member.rs
+++ b/crates/dispatch/src/member.rs
@@ -308,7 +308,7 @@
     }
 
     /// Records that a router answered a request.
-    pub fn answered(&mut self, address: SocketAddr) {
+    pub fn record_answer(&mut self, address: SocketAddr) {
         if let Some(record) = self.known.get_mut(&address) {
             record.misses = 0;
             record.exclusions = 0;
--- a/crates/dispatch/tests/cells.rs
+++ b/crates/dispatch/tests/cells.rs
@@ -159,7 +159,7 @@
         .find(|it| members.owner(*it, ms(2_000)) == address(2));
     let cell = cell.unwrap();
     assert!(!members.record_miss(address(2), ms(2_000)));
-    members.answered(address(2));
+    members.record_answer(address(2));
     assert!(!members.record_miss(address(2), ms(2_000)));
     assert!(members.record_miss(address(2), ms(2_000)));
     assert_eq!(members.owner(cell, ms(2_400)), address(1));
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -193,7 +193,7 @@
 
     /// Takes an owner's answer; a place that nobody waits for is given back.
     pub(crate) fn answer(&self, from: SocketAddr, number: u64, answer: Answer) {
-        self.state.borrow_mut().members.answered(from);
+        self.state.borrow_mut().members.record_answer(from);
         if !self.pending.answer(number, answer) {
             if let Some(time) = self.pending.note_late(number, &answer, self.now()) {
                 self.metrics
