--- a/crates/dispatch/src/cell.rs
+++ b/crates/dispatch/src/cell.rs
@@ -16,7 +16,7 @@
 
 /// Approximate number of targets in a cell; `docs/design/cells.md` compares two sizes on fleets of
 /// 90 and 140 engines, of which this is the larger.
-pub const TARGETS: usize = 48;
+pub const TARGETS_PER_CELL: usize = 48;
 
 /// Limit on the number of cells of a service in a region: owners report their customers to each
 /// other, and this traffic grows with the square of the number of cells (`docs/CAPACITY.md`).
--- a/crates/dispatch/src/registry.rs
+++ b/crates/dispatch/src/registry.rs
@@ -119,7 +119,7 @@
     #[must_use]
     pub fn new() -> Self {
         Self {
-            cell_targets: cell::TARGETS,
+            cell_targets: cell::TARGETS_PER_CELL,
             regions: Arc::default(),
             targets: HashMap::new(),
             by_id: HashMap::new(),
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -95,7 +95,7 @@
 }
 
 fn cells(size: &Size) -> u16 {
-    cell::count(count(size.targets), cell::TARGETS)
+    cell::count(count(size.targets), cell::TARGETS_PER_CELL)
 }
 
 fn count(number: u32) -> usize {
@@ -315,7 +315,7 @@
 fn place(size: &Size) -> f64 {
     let prompt = prompt();
     let targets = targets(size);
-    let cell = targets.into_iter().take(cell::TARGETS).zip(0u32..);
+    let cell = targets.into_iter().take(cell::TARGETS_PER_CELL).zip(0u32..);
     let candidates: Vec<_> = cell
         .map(|(target, number)| Candidate {
             target: Arc::new(target),
--- a/crates/path/src/flags.rs
+++ b/crates/path/src/flags.rs
@@ -162,7 +162,7 @@
             "cell-targets",
             "Targets whose requests one router places, about",
             1_000.0,
-            cell::TARGETS as f64,
+            cell::TARGETS_PER_CELL as f64,
         )
     };
     let memory = figure(
