--- a/crates/dispatch/src/cell.rs
+++ b/crates/dispatch/src/cell.rs
@@ -20,7 +20,7 @@
 
 /// Limit on the number of cells of a service in a region: owners report their customers to each
 /// other, and this traffic grows with the square of the number of cells (`docs/CAPACITY.md`).
-pub const MOST: u16 = 12;
+pub const MAX_PER_REGION: u16 = 12;
 
 /// Hash of a service's name, for use in messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -54,7 +54,9 @@
 pub fn count(targets: usize, per_cell: usize) -> u16 {
     let per_cell = per_cell.max(1);
     let cells = (targets + per_cell / 2) / per_cell;
-    u16::try_from(cells).unwrap_or(u16::MAX).clamp(1, MOST)
+    u16::try_from(cells)
+        .unwrap_or(u16::MAX)
+        .clamp(1, MAX_PER_REGION)
 }
 
 /// Index of a target's cell among the `count` cells of its region.
--- a/crates/dispatch/tests/cells.rs
+++ b/crates/dispatch/tests/cells.rs
@@ -74,7 +74,7 @@
 #[test]
 fn a_service_has_a_bounded_number_of_cells() {
     let counts = [0, 9, 23, 24, 140, 600].map(|it| cell::count(it, 16));
-    assert_eq!(counts, [1, 1, 1, 2, 9, cell::MOST]);
+    assert_eq!(counts, [1, 1, 1, 2, 9, cell::MAX_PER_REGION]);
     assert_eq!(cell::count(600, cell::TARGETS_PER_CELL), 12);
 }
 
