--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -20,7 +20,7 @@
 //! - [`tries`], [`returns`]: which requests are a caller's first try.
 //! - [`budget`]: how often a request may be sent once more.
 //! - [`health`]: targets that fail and are left alone for a while.
-//! - [`reach`]: failure domains that may be cut off.
+//! - [`reachability`]: failure domains that may be cut off.
 //! - [`reading`]: when views were read, as routers tell each other.
 //! - [`turn`]: who calls the store for a view, and when.
 //! - [`region`], [`roundtrip`]: which failure domains are near, and how long ways take.
@@ -44,7 +44,7 @@
 pub mod placement;
 pub mod prefix;
 pub mod quarantine;
-pub mod reach;
+pub mod reachability;
 pub mod reading;
 pub mod region;
 pub mod registry;
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -10,7 +10,7 @@
 use dunlinward_dispatch::health::{Health, Outcome};
 use dunlinward_dispatch::placement::{self, Ask, Candidate, Policy};
 use dunlinward_dispatch::prefix::{self, Memory, Part, Prefix, Prompt, Use};
-use dunlinward_dispatch::reach::Reach;
+use dunlinward_dispatch::reachability::Reach;
 use dunlinward_dispatch::registry::{Change, OUTAGE, RETURN_TIME, Registry};
 use dunlinward_dispatch::report::CustomerTag;
 use dunlinward_dispatch::share::{self, Shares};
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -23,7 +23,7 @@
 use dunlinward_dispatch::membership::{Change as MemberChange, Effects, Membership};
 use dunlinward_dispatch::prefix::{Memory, Prompt};
 use dunlinward_dispatch::quarantine::Ledger;
-use dunlinward_dispatch::reach::Reach;
+use dunlinward_dispatch::reachability::Reach;
 use dunlinward_dispatch::reading::{Reading, Readings};
 use dunlinward_dispatch::region::{Allowed, Region};
 use dunlinward_dispatch::registry::{Change, Delta, Listing, Registry};
