--- a/crates/dispatch/src/reachability.rs
+++ b/crates/dispatch/src/reachability.rs
@@ -28,12 +28,12 @@
 
 /// Contacts with the routers of each domain.
 #[derive(Clone, Debug)]
-pub struct Reach {
+pub struct Reachability {
     interval: Duration,
     domains: HashMap<Arc<str>, Contact>,
 }
 
-impl Reach {
+impl Reachability {
     /// No contacts yet; `interval` is the time between two probes of a router.
     #[must_use]
     pub fn new(interval: Duration) -> Self {
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -10,7 +10,7 @@
 use dunlinward_dispatch::health::{Health, Outcome};
 use dunlinward_dispatch::placement::{self, Ask, Candidate, Policy};
 use dunlinward_dispatch::prefix::{self, Memory, Part, Prefix, Prompt, Use};
-use dunlinward_dispatch::reachability::Reach;
+use dunlinward_dispatch::reachability::Reachability;
 use dunlinward_dispatch::registry::{Change, OUTAGE, RETURN_TIME, Registry};
 use dunlinward_dispatch::report::CustomerTag;
 use dunlinward_dispatch::share::{self, Shares};
@@ -412,7 +412,7 @@
 
 #[test]
 fn a_domain_is_doubtful_while_all_its_routers_are_silent() {
-    let mut reach = Reach::new(ms(100));
+    let mut reach = Reachability::new(ms(100));
     let (a, b): (Arc<str>, Arc<str>) = ("a".into(), "b".into());
     assert!(!reach.doubtful("a", ms(0)));
     reach.miss("a");
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -23,7 +23,7 @@
 use dunlinward_dispatch::membership::{Change as MemberChange, Effects, Membership};
 use dunlinward_dispatch::prefix::{Memory, Prompt};
 use dunlinward_dispatch::quarantine::Ledger;
-use dunlinward_dispatch::reachability::Reach;
+use dunlinward_dispatch::reachability::Reachability;
 use dunlinward_dispatch::reading::{Reading, Readings};
 use dunlinward_dispatch::region::{Allowed, Region};
 use dunlinward_dispatch::registry::{Change, Delta, Listing, Registry};
@@ -133,7 +133,7 @@
     peer: Peer,
     pub(crate) budget: Budget,
     pub(crate) shares: Shares,
-    pub(crate) reach: Reach,
+    pub(crate) reach: Reachability,
     /// How long answers of other routers take.
     pub(crate) round_trips: RoundTrips,
     /// The region of this router.
@@ -196,7 +196,7 @@
             peer,
             budget: Budget::new(settings.repeats),
             shares: Shares::new(settings.share_window),
-            reach: Reach::new(settings.report_interval),
+            reach: Reachability::new(settings.report_interval),
             round_trips: RoundTrips::default(),
             region: settings.regions.of(&settings.domain),
             short: HashMap::new(),
