--- a/crates/dispatch/src/reachability.rs
+++ b/crates/dispatch/src/reachability.rs
@@ -44,7 +44,7 @@
     }
 
     /// Records a packet from a router of a domain.
-    pub fn hear(&mut self, domain: &Arc<str>, now: Duration) {
+    pub fn record_packet(&mut self, domain: &Arc<str>, now: Duration) {
         let contact = Contact {
             last_packet: now,
             misses: 0,
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -418,8 +418,8 @@
     reach.miss("a");
     reach.miss("a");
     assert!(!reach.doubtful("a", ms(900)));
-    reach.hear(&a, ms(300));
-    reach.hear(&b, ms(300));
+    reach.record_packet(&a, ms(300));
+    reach.record_packet(&b, ms(300));
     assert!(!reach.doubtful("a", ms(700)));
     reach.miss("a");
     assert!(!reach.doubtful("a", ms(700)));
@@ -427,7 +427,7 @@
     assert!(!reach.doubtful("a", ms(600)));
     assert!(reach.doubtful("a", ms(700)));
     assert!(!reach.doubtful("b", ms(700)));
-    reach.hear(&a, ms(800));
+    reach.record_packet(&a, ms(800));
     assert!(!reach.doubtful("a", ms(1_300)));
     reach.miss("b");
     reach.miss("b");
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -140,7 +140,7 @@
     let now = node.now();
     let effects = {
         let mut state = node.state.borrow_mut();
-        state.reach.hear(&card.domain, now);
+        state.reach.record_packet(&card.domain, now);
         state.membership.receive(packet, now)
     };
     carry_out(node, effects);
