--- a/crates/dispatch/src/reachability.rs
+++ b/crates/dispatch/src/reachability.rs
@@ -53,7 +53,7 @@
     }
 
     /// Records that a probe to a router of a domain timed out.
-    pub fn miss(&mut self, domain: &str) {
+    pub fn record_miss(&mut self, domain: &str) {
         if let Some(contact) = self.domains.get_mut(domain) {
             contact.misses += 1;
         }
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -415,22 +415,22 @@
     let mut reach = Reachability::new(ms(100));
     let (a, b): (Arc<str>, Arc<str>) = ("a".into(), "b".into());
     assert!(!reach.doubtful("a", ms(0)));
-    reach.miss("a");
-    reach.miss("a");
+    reach.record_miss("a");
+    reach.record_miss("a");
     assert!(!reach.doubtful("a", ms(900)));
     reach.record_packet(&a, ms(300));
     reach.record_packet(&b, ms(300));
     assert!(!reach.doubtful("a", ms(700)));
-    reach.miss("a");
+    reach.record_miss("a");
     assert!(!reach.doubtful("a", ms(700)));
-    reach.miss("a");
+    reach.record_miss("a");
     assert!(!reach.doubtful("a", ms(600)));
     assert!(reach.doubtful("a", ms(700)));
     assert!(!reach.doubtful("b", ms(700)));
     reach.record_packet(&a, ms(800));
     assert!(!reach.doubtful("a", ms(1_300)));
-    reach.miss("b");
-    reach.miss("b");
+    reach.record_miss("b");
+    reach.record_miss("b");
     assert!(reach.doubtful("b", ms(900)));
     assert!(!reach.doubtful("b", ms(8300)));
 }
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -250,7 +250,7 @@
             if !self.members.is_leaving(*address)
                 && let Some(domain) = self.members.domain(*address)
             {
-                self.reach.miss(&domain);
+                self.reach.record_miss(&domain);
             }
         }
     }
