--- a/crates/dispatch/src/reachability.rs
+++ b/crates/dispatch/src/reachability.rs
@@ -61,7 +61,7 @@
 
     /// Whether the path to a domain may be cut.
     #[must_use]
-    pub fn doubtful(&self, domain: &str, now: Duration) -> bool {
+    pub fn may_be_partitioned(&self, domain: &str, now: Duration) -> bool {
         self.domains.get(domain).is_some_and(|contact| {
             let silence = now.saturating_sub(contact.last_packet);
             let in_range =
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -414,25 +414,25 @@
 fn a_domain_is_doubtful_while_all_its_routers_are_silent() {
     let mut reach = Reachability::new(ms(100));
     let (a, b): (Arc<str>, Arc<str>) = ("a".into(), "b".into());
-    assert!(!reach.doubtful("a", ms(0)));
+    assert!(!reach.may_be_partitioned("a", ms(0)));
     reach.record_miss("a");
     reach.record_miss("a");
-    assert!(!reach.doubtful("a", ms(900)));
+    assert!(!reach.may_be_partitioned("a", ms(900)));
     reach.record_packet(&a, ms(300));
     reach.record_packet(&b, ms(300));
-    assert!(!reach.doubtful("a", ms(700)));
+    assert!(!reach.may_be_partitioned("a", ms(700)));
     reach.record_miss("a");
-    assert!(!reach.doubtful("a", ms(700)));
+    assert!(!reach.may_be_partitioned("a", ms(700)));
     reach.record_miss("a");
-    assert!(!reach.doubtful("a", ms(600)));
-    assert!(reach.doubtful("a", ms(700)));
-    assert!(!reach.doubtful("b", ms(700)));
+    assert!(!reach.may_be_partitioned("a", ms(600)));
+    assert!(reach.may_be_partitioned("a", ms(700)));
+    assert!(!reach.may_be_partitioned("b", ms(700)));
     reach.record_packet(&a, ms(800));
-    assert!(!reach.doubtful("a", ms(1_300)));
+    assert!(!reach.may_be_partitioned("a", ms(1_300)));
     reach.record_miss("b");
     reach.record_miss("b");
-    assert!(reach.doubtful("b", ms(900)));
-    assert!(!reach.doubtful("b", ms(8300)));
+    assert!(reach.may_be_partitioned("b", ms(900)));
+    assert!(!reach.may_be_partitioned("b", ms(8300)));
 }
 
 fn prompt() -> Prompt {
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -331,7 +331,7 @@
         self.state
             .borrow()
             .reach
-            .doubtful(&target.domain, self.now())
+            .may_be_partitioned(&target.domain, self.now())
     }
 
     /// Notes how an exchange with a target went.
