--- a/crates/dispatch/src/region.rs
+++ b/crates/dispatch/src/region.rs
@@ -72,7 +72,7 @@
 
     /// Whether a region has this name.
     #[must_use]
-    pub fn has(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.names.iter().any(|it| it.as_ref() == name)
     }
 }
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -251,7 +251,7 @@
     /// Routes and customers that are bound only to regions that no failure domain is in run nowhere.
     fn tell_unknown_regions(&self, table: &Table) {
         let regions = &self.settings.regions;
-        let unknown = table.named_regions().filter(|it| !regions.has(it));
+        let unknown = table.named_regions().filter(|it| !regions.contains(it));
         let unknown: BTreeSet<_> = unknown.map(AsRef::as_ref).collect();
         if unknown.is_empty() {
             return;
