--- a/crates/dispatch/src/region.rs
+++ b/crates/dispatch/src/region.rs
@@ -61,13 +61,13 @@
     /// The regions permitted by a list of names. An empty list permits all regions; unknown names
     /// permit none.
     #[must_use]
-    pub fn allowed(&self, names: &[Arc<str>]) -> Allowed {
+    pub fn allowed(&self, names: &[Arc<str>]) -> Constraint {
         if names.is_empty() {
-            return Allowed::ANY;
+            return Constraint::ANY;
         }
         let regions = names.iter().map(|it| region_by_name(&self.names, it));
         let known = regions.filter(|it| *it != Region::UNKNOWN);
-        Allowed(Some(known.fold(0, |set, it| set | 1 << it.0)))
+        Constraint(Some(known.fold(0, |set, it| set | 1 << it.0)))
     }
 
     /// Whether a region has this name.
@@ -85,9 +85,9 @@
 
 /// The regions in which a request may run: a set of region numbers, or any region.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Allowed(Option<u64>);
+pub struct Constraint(Option<u64>);
 
-impl Allowed {
+impl Constraint {
     /// Any region, including an unknown one.
     pub const ANY: Self = Self(None);
 
--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -10,7 +10,7 @@
 use dunlinward_dispatch::content::Digest;
 use dunlinward_dispatch::health::Outcome;
 use dunlinward_dispatch::prefix::Prompt;
-use dunlinward_dispatch::region::Allowed;
+use dunlinward_dispatch::region::Constraint;
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::http::{request, response};
@@ -57,7 +57,7 @@
     /// The customer that holds its key.
     pub customer: Option<Arc<str>>,
     /// Regions in which route and customer allow it to run.
-    pub allowed: Allowed,
+    pub allowed: Constraint,
     /// Its prompt.
     pub prompt: Option<Rc<Prompt>>,
     /// Tokens for which its customer is charged.
--- a/crates/path/src/memories.rs
+++ b/crates/path/src/memories.rs
@@ -13,7 +13,7 @@
 
 use bytes::Bytes;
 use dunlinward_dispatch::cache::{Finding, News, Question};
-use dunlinward_dispatch::region::Allowed;
+use dunlinward_dispatch::region::Constraint;
 use dunlinward_dispatch::target::{Tag, Target};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::{HOST, HeaderValue};
@@ -166,7 +166,10 @@
         let opened = pool::open(engine.address, TIMEOUT).await;
         opened.context(OpenSnafu)?
     };
-    let barred = node.state.borrow().barred(engine, Allowed::ANY, node.now());
+    let barred = node
+        .state
+        .borrow()
+        .barred(engine, Constraint::ANY, node.now());
     if let Some(bar) = barred {
         return BarredSnafu { reason: bar.name() }.fail();
     }
@@ -209,7 +212,7 @@
         let cells = state.registry.all_cells();
         let own = cells.filter(|(cell, _)| state.members.owner(*cell, now) == self.settings.link);
         let own = own.flat_map(|(_, targets)| targets);
-        let own = own.filter(|it| state.barred(it, Allowed::ANY, now).is_none());
+        let own = own.filter(|it| state.barred(it, Constraint::ANY, now).is_none());
         let engines = own.filter(|target| {
             let service = table.service(&target.service);
             service.is_some_and(|it| it.engine.is_some())
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -13,7 +13,7 @@
 use dunlinward_dispatch::cell::Cell;
 use dunlinward_dispatch::health::Outcome;
 use dunlinward_dispatch::prefix::Use;
-use dunlinward_dispatch::region::Allowed;
+use dunlinward_dispatch::region::Constraint;
 use dunlinward_dispatch::report::{Ask, Content, Return, TargetLoad, Work};
 use dunlinward_dispatch::target::Tag;
 use dunlinward_dispatch::usage::Peer;
@@ -56,7 +56,7 @@
             router: peer,
             domain: domain.unwrap_or_else(|| node.settings.domain.clone()),
             // The router that asks has chosen the cell by what it allows.
-            allowed: Allowed::ANY,
+            allowed: Constraint::ANY,
             content: ask.content,
             prompt: ask.prompt.map(Rc::new),
             customer: ask.customer,
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -25,7 +25,7 @@
 use dunlinward_dispatch::quarantine::Ledger;
 use dunlinward_dispatch::reachability::Reachability;
 use dunlinward_dispatch::reading::{Reading, Readings};
-use dunlinward_dispatch::region::{Allowed, Region};
+use dunlinward_dispatch::region::{Constraint, Region};
 use dunlinward_dispatch::registry::{Change, Delta, Listing, Registry};
 use dunlinward_dispatch::report::{CustomerTag, Views};
 use dunlinward_dispatch::returns::Returns;
@@ -73,7 +73,7 @@
     /// Its failure domain.
     pub domain: Arc<str>,
     /// Regions in which it may run.
-    pub allowed: Allowed,
+    pub allowed: Constraint,
     /// What it asks, unless that was answered lately.
     pub content: Option<ContentTag>,
     /// Its prompt.
--- a/crates/path/src/state/barred.rs
+++ b/crates/path/src/state/barred.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use dunlinward_dispatch::cell::Cell;
-use dunlinward_dispatch::region::Allowed;
+use dunlinward_dispatch::region::Constraint;
 use dunlinward_dispatch::target::{State as Condition, Tag, Target};
 
 use super::{State, Wish};
@@ -59,7 +59,12 @@
 
 impl State {
     /// Why a target must not get a request of this router's callers, if it must not.
-    pub(crate) fn barred(&self, target: &Target, allowed: Allowed, now: Duration) -> Option<Bar> {
+    pub(crate) fn barred(
+        &self,
+        target: &Target,
+        allowed: Constraint,
+        now: Duration,
+    ) -> Option<Bar> {
         let tag = target.tag();
         if !allowed.admits(self.registry.region_of(target)) {
             return Some(Bar::OutOfRegion);
--- a/crates/path/src/state/homes.rs
+++ b/crates/path/src/state/homes.rs
@@ -8,7 +8,7 @@
 
 use dunlinward_dispatch::cell::{self, Cell, ServiceTag};
 use dunlinward_dispatch::prefix::Prefix;
-use dunlinward_dispatch::region::{Allowed, Region};
+use dunlinward_dispatch::region::{Constraint, Region};
 use dunlinward_dispatch::report::CustomerTag;
 use xxhash_rust::xxh64::xxh64;
 
@@ -25,7 +25,7 @@
         &self,
         service: &str,
         prefix: Prefix,
-        allowed: Allowed,
+        allowed: Constraint,
         now: Duration,
     ) -> Option<Cell> {
         let service = ServiceTag::new(service);
@@ -54,7 +54,7 @@
         full: Cell,
         prefix: Prefix,
         customer: Option<CustomerTag>,
-        allowed: Allowed,
+        allowed: Constraint,
         now: Duration,
     ) -> Option<Cell> {
         let regions = self.regions(full.service, prefix, allowed);
@@ -77,7 +77,7 @@
 
     /// Regions that may run a request: this router's own, and then the others in an order that differs
     /// from prefix to prefix, so that all of them lend alike.
-    fn regions(&self, service: ServiceTag, prefix: Prefix, allowed: Allowed) -> Vec<Region> {
+    fn regions(&self, service: ServiceTag, prefix: Prefix, allowed: Constraint) -> Vec<Region> {
         let regions = self.registry.regions(service);
         let mut regions: Vec<_> = regions.filter(|it| allowed.admits(*it)).collect();
         regions.sort_by_key(|it| (*it != self.region, xxh64(&[it.0], prefix.0)));
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -437,7 +437,7 @@
         },
         router: Peer(0),
         domain: "a".into(),
-        allowed: Allowed::ANY,
+        allowed: Constraint::ANY,
         content: None,
         prompt: Some(Rc::new(prompt)),
         customer: Some(tag(customer)),
--- a/crates/path/src/state/tests/homes.rs
+++ b/crates/path/src/state/tests/homes.rs
@@ -88,6 +88,6 @@
     let bound = regions.allowed(&["one".into()]);
     assert!(bound.admits(regions.of("a")));
     assert!(!bound.admits(regions.of("z")));
-    assert!(Allowed::ANY.admits(regions.of("z")));
+    assert!(Constraint::ANY.admits(regions.of("z")));
     assert_eq!(Regions::default().of("z"), Region::default());
 }
