--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -23,7 +23,7 @@
 //! - [`reachability`]: failure domains that may be cut off.
 //! - [`reading`]: when views were read, as routers tell each other.
 //! - [`turn`]: who calls the store for a view, and when.
-//! - [`region`], [`roundtrip`]: which failure domains are near, and how long ways take.
+//! - [`region`], [`round_trip`]: which failure domains are near, and how long ways take.
 //! - [`report`]: what routers tell each other.
 
 pub mod backoff;
@@ -50,7 +50,7 @@
 pub mod registry;
 pub mod report;
 pub mod returns;
-pub mod roundtrip;
+pub mod round_trip;
 pub mod share;
 pub mod store;
 pub mod target;
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use dunlinward_dispatch::report::{Ask, Content, Grant, Wait};
-use dunlinward_dispatch::roundtrip::RoundTrip;
+use dunlinward_dispatch::round_trip::RoundTrip;
 use dunlinward_dispatch::share::Standing;
 use dunlinward_dispatch::target::{Tag, Target};
 use tokio::sync::mpsc;
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -29,7 +29,7 @@
 use dunlinward_dispatch::registry::{Change, Delta, Listing, Registry};
 use dunlinward_dispatch::report::{CustomerTag, Views};
 use dunlinward_dispatch::returns::Returns;
-use dunlinward_dispatch::roundtrip::RoundTrips;
+use dunlinward_dispatch::round_trip::RoundTrips;
 use dunlinward_dispatch::share::{self, Shares};
 use dunlinward_dispatch::store::{Era, Position, Sight};
 use dunlinward_dispatch::target::{Tag, Target};
