--- a/crates/dispatch/src/round_trip.rs
+++ b/crates/dispatch/src/round_trip.rs
@@ -31,7 +31,7 @@
     /// Smoothed mean.
     pub mean: Duration,
     /// Time within which an answer is expected.
-    pub limit: Duration,
+    pub timeout: Duration,
 }
 
 /// Round-trip times by failure domain.
@@ -61,10 +61,10 @@
     #[must_use]
     pub fn to(&self, domain: &str) -> Option<RoundTrip> {
         let estimate = self.by_domain.get(domain)?;
-        let limit = estimate.seconds + TIMEOUT_DEVIATIONS * estimate.deviation;
+        let timeout = estimate.seconds + TIMEOUT_DEVIATIONS * estimate.deviation;
         Some(RoundTrip {
             mean: Duration::from_secs_f64(estimate.seconds),
-            limit: Duration::from_secs_f64(limit),
+            timeout: Duration::from_secs_f64(timeout),
         })
     }
 }
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -215,7 +215,7 @@
 fn answer_time(wish: &Wish, way: RoundTrip) -> Duration {
     let time = wish.objective.mul_f64(ANSWER_PART);
     let time = time.clamp(ANSWER_LEAST, ANSWER_MOST);
-    time.max(way.limit.min(longest_answer(wish)))
+    time.max(way.timeout.min(longest_answer(wish)))
 }
 
 /// The longest way to an owner that leaves enough of the objective for the answer itself.
