--- a/crates/dispatch/src/round_trip.rs
+++ b/crates/dispatch/src/round_trip.rs
@@ -42,7 +42,7 @@
 
 impl RoundTrips {
     /// Records the round-trip time of a message to a domain.
-    pub fn note(&mut self, domain: &Arc<str>, time: Duration) {
+    pub fn record(&mut self, domain: &Arc<str>, time: Duration) {
         let seconds = time.as_secs_f64();
         let Some(estimate) = self.by_domain.get_mut(domain) else {
             let first = Estimate {
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -242,7 +242,7 @@
         }
         for (address, time) in &effects.round_trips {
             if let Some(domain) = self.members.domain(*address) {
-                self.round_trips.note(&domain, *time);
+                self.round_trips.record(&domain, *time);
             }
         }
         for address in &effects.unanswered {
