--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -22,7 +22,7 @@
 //! - [`health`]: targets that fail and are left alone for a while.
 //! - [`reachability`]: failure domains that may be cut off.
 //! - [`reading`]: when views were read, as routers tell each other.
-//! - [`turn`]: who calls the store for a view, and when.
+//! - [`polling`]: who calls the store for a view, and when.
 //! - [`region`], [`round_trip`]: which failure domains are near, and how long ways take.
 //! - [`report`]: what routers tell each other.
 
@@ -42,6 +42,7 @@
 pub mod member;
 pub mod membership;
 pub mod placement;
+pub mod polling;
 pub mod prefix;
 pub mod quarantine;
 pub mod reachability;
@@ -55,5 +56,4 @@
 pub mod store;
 pub mod target;
 pub mod tries;
-pub mod turn;
 pub mod usage;
--- a/crates/dispatch/tests/turns.rs
+++ b/crates/dispatch/tests/polling.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use dunlinward_dispatch::turn::{Caller, Turn};
+use dunlinward_dispatch::polling::{Caller, Turn};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
