--- a/crates/dispatch/src/polling.rs
+++ b/crates/dispatch/src/polling.rs
@@ -25,7 +25,7 @@
 
 /// Poll times by rank.
 #[derive(Clone, Copy, Debug)]
-pub struct Turn {
+pub struct Schedule {
     /// Age of the view at which the first router polls.
     pub first: Duration,
     /// Delay between consecutive ranks.
@@ -34,7 +34,7 @@
     pub callers: usize,
 }
 
-impl Turn {
+impl Schedule {
     /// Age of the view at which a router polls; `random` is from 0 to 1.
     #[must_use]
     pub fn age(&self, rank: usize, random: f64) -> Duration {
@@ -52,7 +52,7 @@
 /// State of a router's polls for one view.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    turn: Turn,
+    schedule: Schedule,
     /// Drawn once, from 0 to 1.
     random: f64,
     failures: u32,
@@ -62,9 +62,9 @@
 impl Caller {
     /// A router that has not polled yet; `random` is from 0 to 1.
     #[must_use]
-    pub fn new(turn: Turn, random: f64) -> Self {
+    pub fn new(schedule: Schedule, random: f64) -> Self {
         Self {
-            turn,
+            schedule,
             random,
             failures: 0,
             retry_at: Duration::ZERO,
@@ -74,7 +74,7 @@
     /// Whether a router of this rank polls in normal operation.
     #[must_use]
     pub fn called_upon(&self, rank: usize) -> bool {
-        rank < self.turn.callers
+        rank < self.schedule.callers
     }
 
     /// Time of the next poll, unless another router confirms the view before; `known_at` is when
@@ -83,8 +83,8 @@
     #[must_use]
     pub fn due(&self, known_at: Option<Duration>, rank: usize) -> Duration {
         let due = match known_at {
-            Some(at) => at + self.turn.age(rank, self.random),
-            None => self.turn.rank_delay(rank, self.random),
+            Some(at) => at + self.schedule.age(rank, self.random),
+            None => self.schedule.rank_delay(rank, self.random),
         };
         due.max(self.retry_at)
     }
--- a/crates/dispatch/tests/polling.rs
+++ b/crates/dispatch/tests/polling.rs
@@ -3,11 +3,11 @@
 
 use std::time::Duration;
 
-use dunlinward_dispatch::polling::{Caller, Turn};
+use dunlinward_dispatch::polling::{Caller, Schedule};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const TURN: Turn = Turn {
+const SCHEDULE: Schedule = Schedule {
     first: Duration::from_millis(900),
     step: Duration::from_millis(240),
     callers: 1,
@@ -34,7 +34,7 @@
 impl Fleet {
     fn new(routers: usize) -> Self {
         let mut random = Pcg64Mcg::seed_from_u64(7);
-        let callers = (0..routers).map(|_| Caller::new(TURN, random.random()));
+        let callers = (0..routers).map(|_| Caller::new(SCHEDULE, random.random()));
         Self {
             callers: callers.collect(),
             known_at: vec![None; routers],
