--- a/crates/dispatch/src/polling.rs
+++ b/crates/dispatch/src/polling.rs
@@ -51,7 +51,7 @@
 
 /// State of a router's polls for one view.
 #[derive(Clone, Debug)]
-pub struct Caller {
+pub struct Poller {
     schedule: Schedule,
     /// Drawn once, from 0 to 1.
     random: f64,
@@ -59,7 +59,7 @@
     retry_at: Duration,
 }
 
-impl Caller {
+impl Poller {
     /// A router that has not polled yet; `random` is from 0 to 1.
     #[must_use]
     pub fn new(schedule: Schedule, random: f64) -> Self {
--- a/crates/dispatch/tests/polling.rs
+++ b/crates/dispatch/tests/polling.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use dunlinward_dispatch::polling::{Caller, Schedule};
+use dunlinward_dispatch::polling::{Poller, Schedule};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -23,7 +23,7 @@
 
 /// A fleet with one store.
 struct Fleet {
-    callers: Vec<Caller>,
+    callers: Vec<Poller>,
     known_at: Vec<Option<Duration>>,
     /// Readings in flight: when each was made, and when it arrives.
     in_flight: Vec<(Duration, Duration)>,
@@ -34,7 +34,7 @@
 impl Fleet {
     fn new(routers: usize) -> Self {
         let mut random = Pcg64Mcg::seed_from_u64(7);
-        let callers = (0..routers).map(|_| Caller::new(SCHEDULE, random.random()));
+        let callers = (0..routers).map(|_| Poller::new(SCHEDULE, random.random()));
         Self {
             callers: callers.collect(),
             known_at: vec![None; routers],
