--- a/crates/dispatch/src/polling.rs
+++ b/crates/dispatch/src/polling.rs
@@ -31,7 +31,7 @@
     /// Delay between consecutive ranks.
     pub step: Duration,
     /// Number of routers that poll in normal operation.
-    pub callers: usize,
+    pub pollers: usize,
 }
 
 impl Schedule {
@@ -74,7 +74,7 @@
     /// Whether a router of this rank polls in normal operation.
     #[must_use]
     pub fn called_upon(&self, rank: usize) -> bool {
-        rank < self.schedule.callers
+        rank < self.schedule.pollers
     }
 
     /// Time of the next poll, unless another router confirms the view before; `known_at` is when
--- a/crates/dispatch/tests/polling.rs
+++ b/crates/dispatch/tests/polling.rs
@@ -10,7 +10,7 @@
 const SCHEDULE: Schedule = Schedule {
     first: Duration::from_millis(900),
     step: Duration::from_millis(240),
-    callers: 1,
+    pollers: 1,
 };
 
 /// Time for a reading to reach all routers: seven greetings in sequence.
@@ -23,7 +23,7 @@
 
 /// A fleet with one store.
 struct Fleet {
-    callers: Vec<Poller>,
+    pollers: Vec<Poller>,
     known_at: Vec<Option<Duration>>,
     /// Readings in flight: when each was made, and when it arrives.
     in_flight: Vec<(Duration, Duration)>,
@@ -34,9 +34,9 @@
 impl Fleet {
     fn new(routers: usize) -> Self {
         let mut random = Pcg64Mcg::seed_from_u64(7);
-        let callers = (0..routers).map(|_| Poller::new(SCHEDULE, random.random()));
+        let pollers = (0..routers).map(|_| Poller::new(SCHEDULE, random.random()));
         Self {
-            callers: callers.collect(),
+            pollers: pollers.collect(),
             known_at: vec![None; routers],
             in_flight: Vec::new(),
             requests: Vec::new(),
@@ -48,8 +48,8 @@
         let mut now = from;
         while now < to {
             self.deliver(now);
-            for rank in 0..self.callers.len() {
-                if self.callers[rank].due(self.known_at[rank], rank) > now {
+            for rank in 0..self.pollers.len() {
+                if self.pollers[rank].due(self.known_at[rank], rank) > now {
                     continue;
                 }
                 let pages = if self.known_at[rank].is_none() {
@@ -59,12 +59,12 @@
                 };
                 if answers(rank, now) {
                     self.requests.extend(std::iter::repeat_n(now, pages));
-                    self.callers[rank].answered();
+                    self.pollers[rank].answered();
                     self.known_at[rank] = Some(now);
                     self.in_flight.push((now, now + PROPAGATION));
                 } else {
                     self.requests.push(now);
-                    self.callers[rank].failed(rank, now);
+                    self.pollers[rank].failed(rank, now);
                 }
             }
             now += TICK;
@@ -153,7 +153,7 @@
         // All routers have failed several times.
         for rank in 0..routers {
             for _ in 0..6 {
-                fleet.callers[rank].failed(rank, Duration::ZERO);
+                fleet.pollers[rank].failed(rank, Duration::ZERO);
             }
         }
         // The store answers nobody for as long as it received more than 500 requests in the last
