--- a/crates/dispatch/src/polling.rs
+++ b/crates/dispatch/src/polling.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Schedule {
     /// Age of the view at which the first router polls.
-    pub first: Duration,
+    pub first_age: Duration,
     /// Delay between consecutive ranks.
     pub step: Duration,
     /// Number of routers that poll in normal operation.
@@ -38,7 +38,7 @@
     /// Age of the view at which a router polls; `random` is from 0 to 1.
     #[must_use]
     pub fn age(&self, rank: usize, random: f64) -> Duration {
-        self.first + self.rank_delay(rank, random)
+        self.first_age + self.rank_delay(rank, random)
     }
 
     /// Time for which a router waits for those before it in rank.
--- a/crates/dispatch/tests/polling.rs
+++ b/crates/dispatch/tests/polling.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg64Mcg;
 
 const SCHEDULE: Schedule = Schedule {
-    first: Duration::from_millis(900),
+    first_age: Duration::from_millis(900),
     step: Duration::from_millis(240),
     pollers: 1,
 };
