--- a/crates/dispatch/src/polling.rs
+++ b/crates/dispatch/src/polling.rs
@@ -37,7 +37,7 @@
 impl Schedule {
     /// Age of the view at which a router polls; `random` is from 0 to 1.
     #[must_use]
-    pub fn age(&self, rank: usize, random: f64) -> Duration {
+    pub fn poll_age(&self, rank: usize, random: f64) -> Duration {
         self.first_age + self.rank_delay(rank, random)
     }
 
@@ -83,7 +83,7 @@
     #[must_use]
     pub fn due(&self, known_at: Option<Duration>, rank: usize) -> Duration {
         let due = match known_at {
-            Some(at) => at + self.schedule.age(rank, self.random),
+            Some(at) => at + self.schedule.poll_age(rank, self.random),
             None => self.schedule.rank_delay(rank, self.random),
         };
         due.max(self.retry_at)
