--- a/crates/dispatch/src/polling.rs
+++ b/crates/dispatch/src/polling.rs
@@ -73,7 +73,7 @@
 
     /// Whether a router of this rank polls in normal operation.
     #[must_use]
-    pub fn called_upon(&self, rank: usize) -> bool {
+    pub fn is_designated(&self, rank: usize) -> bool {
         rank < self.schedule.pollers
     }
 
@@ -103,7 +103,7 @@
 
     /// Records a poll that was not answered or was rejected.
     pub fn failed(&mut self, rank: usize, now: Duration) {
-        let (first, longest) = if self.called_upon(rank) {
+        let (first, longest) = if self.is_designated(rank) {
             POLLER_BACKOFF
         } else {
             STANDBY_BACKOFF
