--- a/crates/dispatch/src/polling.rs
+++ b/crates/dispatch/src/polling.rs
@@ -81,7 +81,7 @@
     /// the view was last confirmed. A view that was never known is polled for at once, in the order
     /// of ranks.
     #[must_use]
-    pub fn due(&self, known_at: Option<Duration>, rank: usize) -> Duration {
+    pub fn next_poll(&self, known_at: Option<Duration>, rank: usize) -> Duration {
         let due = match known_at {
             Some(at) => at + self.schedule.poll_age(rank, self.random),
             None => self.schedule.rank_delay(rank, self.random),
--- a/crates/dispatch/tests/polling.rs
+++ b/crates/dispatch/tests/polling.rs
@@ -49,7 +49,7 @@
         while now < to {
             self.deliver(now);
             for rank in 0..self.pollers.len() {
-                if self.pollers[rank].due(self.known_at[rank], rank) > now {
+                if self.pollers[rank].next_poll(self.known_at[rank], rank) > now {
                     continue;
                 }
                 let pages = if self.known_at[rank].is_none() {
