--- a/crates/dispatch/src/polling.rs
+++ b/crates/dispatch/src/polling.rs
@@ -91,7 +91,7 @@
 
     /// Earliest time of the next poll after a failed one; zero if none failed.
     #[must_use]
-    pub fn resumes(&self) -> Duration {
+    pub fn retry_at(&self) -> Duration {
         self.retry_at
     }
 
