--- a/crates/dispatch/src/polling.rs
+++ b/crates/dispatch/src/polling.rs
@@ -96,7 +96,7 @@
     }
 
     /// Records an answered poll.
-    pub fn answered(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
         self.retry_at = Duration::ZERO;
     }
--- a/crates/dispatch/tests/polling.rs
+++ b/crates/dispatch/tests/polling.rs
@@ -59,7 +59,7 @@
                 };
                 if answers(rank, now) {
                     self.requests.extend(std::iter::repeat_n(now, pages));
-                    self.pollers[rank].answered();
+                    self.pollers[rank].record_success();
                     self.known_at[rank] = Some(now);
                     self.in_flight.push((now, now + PROPAGATION));
                 } else {
