--- a/crates/dispatch/src/polling.rs
+++ b/crates/dispatch/src/polling.rs
@@ -102,7 +102,7 @@
     }
 
     /// Records a poll that was not answered or was rejected.
-    pub fn failed(&mut self, rank: usize, now: Duration) {
+    pub fn record_failure(&mut self, rank: usize, now: Duration) {
         let (first, longest) = if self.is_designated(rank) {
             POLLER_BACKOFF
         } else {
--- a/crates/dispatch/tests/polling.rs
+++ b/crates/dispatch/tests/polling.rs
@@ -64,7 +64,7 @@
                     self.in_flight.push((now, now + PROPAGATION));
                 } else {
                     self.requests.push(now);
-                    self.pollers[rank].failed(rank, now);
+                    self.pollers[rank].record_failure(rank, now);
                 }
             }
             now += TICK;
@@ -153,7 +153,7 @@
         // All routers have failed several times.
         for rank in 0..routers {
             for _ in 0..6 {
-                fleet.pollers[rank].failed(rank, Duration::ZERO);
+                fleet.pollers[rank].record_failure(rank, Duration::ZERO);
             }
         }
         // The store answers nobody for as long as it received more than 500 requests in the last
