--- a/crates/dispatch/src/reading.rs
+++ b/crates/dispatch/src/reading.rs
@@ -60,7 +60,7 @@
     }
 
     /// Records that this router read the view, as of `at`.
-    pub fn read(&mut self, at: Duration) {
+    pub fn record(&mut self, at: Duration) {
         let number = self.latest.get(&self.own).map_or(0, |it| it.number);
         let entry = Entry {
             number: number + 1,
--- a/crates/dispatch/tests/reading.rs
+++ b/crates/dispatch/tests/reading.rs
@@ -14,7 +14,7 @@
 #[test]
 fn a_reading_passed_on_repeatedly_gets_no_younger() {
     let mut routers: Vec<_> = (1..=5).map(|it| Readings::new(Peer(it))).collect();
-    routers[0].read(ms(1_000));
+    routers[0].record(ms(1_000));
     let mut now = ms(1_000);
     for step in 0..500 {
         let from = step % 5;
@@ -54,7 +54,7 @@
 fn a_router_reports_the_youngest_reading_of_its_view() {
     let mut readings = Readings::new(Peer(1));
     assert_eq!(readings.tell(ms(0)), None);
-    readings.read(ms(500));
+    readings.record(ms(500));
     let older = Reading {
         reader: 7,
         number: 1,
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -266,7 +266,7 @@
     /// This router has read that the configuration in force is the store's newest.
     pub fn confirm_configuration(&self) {
         let now = self.now();
-        self.state.borrow_mut().configuration_reads.read(now);
+        self.state.borrow_mut().configuration_reads.record(now);
     }
 
     /// Whether others that start ask this router first.
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -318,7 +318,7 @@
         if older || self.registry_position.is_none_or(|it| end < it) {
             return None;
         }
-        self.registry_reads.read(as_of);
+        self.registry_reads.record(as_of);
         self.registry_position = Some(end);
         let written = delta.written.clone();
         let changes = self.registry.take_delta(delta, as_of);
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -26,7 +26,7 @@
             if state.registry.read_at().is_none_or(|at| as_of >= at) {
                 match list.reading {
                     Some(reading) => state.registry_reads.adopt(reading, as_of),
-                    None => state.registry_reads.read(as_of),
+                    None => state.registry_reads.record(as_of),
                 }
             }
             (first, state.take_list(list))
