--- a/crates/dispatch/src/reading.rs
+++ b/crates/dispatch/src/reading.rs
@@ -71,7 +71,7 @@
     }
 
     /// Dates a reading that a peer reported; none if its reader has read again since.
-    pub fn hear(&mut self, reading: Reading, now: Duration) -> Option<Duration> {
+    pub fn receive(&mut self, reading: Reading, now: Duration) -> Option<Duration> {
         let age = Duration::from_millis(reading.age_ms);
         let reported = now.saturating_sub(age);
         let known = self.latest.get(&reading.reader).copied();
--- a/crates/dispatch/tests/reading.rs
+++ b/crates/dispatch/tests/reading.rs
@@ -24,7 +24,7 @@
         let Some(reported) = reported else {
             continue;
         };
-        if let Some(at) = routers[to].hear(reported, now) {
+        if let Some(at) = routers[to].receive(reported, now) {
             routers[to].adopt(reported, at);
         }
     }
@@ -43,11 +43,11 @@
         number,
         age_ms,
     };
-    assert_eq!(readings.hear(reading(2, 100), ms(1_000)), Some(ms(900)));
-    assert_eq!(readings.hear(reading(2, 0), ms(1_100)), Some(ms(900)));
-    assert_eq!(readings.hear(reading(2, 400), ms(1_200)), Some(ms(800)));
-    assert_eq!(readings.hear(reading(1, 0), ms(1_300)), None);
-    assert_eq!(readings.hear(reading(3, 50), ms(1_400)), Some(ms(1_350)));
+    assert_eq!(readings.receive(reading(2, 100), ms(1_000)), Some(ms(900)));
+    assert_eq!(readings.receive(reading(2, 0), ms(1_100)), Some(ms(900)));
+    assert_eq!(readings.receive(reading(2, 400), ms(1_200)), Some(ms(800)));
+    assert_eq!(readings.receive(reading(1, 0), ms(1_300)), None);
+    assert_eq!(readings.receive(reading(3, 50), ms(1_400)), Some(ms(1_350)));
 }
 
 #[test]
@@ -60,7 +60,7 @@
         number: 1,
         age_ms: 600,
     };
-    let at = readings.hear(older, ms(1_000)).unwrap();
+    let at = readings.receive(older, ms(1_000)).unwrap();
     readings.adopt(older, at);
     assert_eq!(readings.at(), Some(ms(500)));
     let younger = Reading {
@@ -68,7 +68,7 @@
         number: 2,
         age_ms: 100,
     };
-    let at = readings.hear(younger, ms(1_000)).unwrap();
+    let at = readings.receive(younger, ms(1_000)).unwrap();
     readings.adopt(younger, at);
     let reported = readings.tell(ms(1_200)).unwrap();
     assert_eq!(
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -198,7 +198,7 @@
     let Some(reading) = views.registry_read else {
         return news;
     };
-    let Some(at) = state.registry_reads.hear(reading, now) else {
+    let Some(at) = state.registry_reads.receive(reading, now) else {
         return news;
     };
     let known = state.registry.read_at();
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -274,7 +274,7 @@
         reading: Reading,
         now: Duration,
     ) -> Option<Duration> {
-        let at = self.configuration_reads.hear(reading, now)?;
+        let at = self.configuration_reads.receive(reading, now)?;
         self.configuration_reads.adopt(reading, at);
         Some(at)
     }
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -197,7 +197,7 @@
             .state
             .borrow_mut()
             .registry_reads
-            .hear(targets.read, now);
+            .receive(targets.read, now);
         let Some(as_of) = heard else {
             return;
         };
