--- a/crates/dispatch/src/reading.rs
+++ b/crates/dispatch/src/reading.rs
@@ -109,7 +109,7 @@
 
     /// The reading that is reported to peers.
     #[must_use]
-    pub fn tell(&self, now: Duration) -> Option<Reading> {
+    pub fn report(&self, now: Duration) -> Option<Reading> {
         let (reader, entry) = self.current?;
         let age = now.saturating_sub(entry.at);
         Some(Reading {
--- a/crates/dispatch/tests/reading.rs
+++ b/crates/dispatch/tests/reading.rs
@@ -18,7 +18,7 @@
     let mut now = ms(1_000);
     for step in 0..500 {
         let from = step % 5;
-        let reported = routers[from].tell(now);
+        let reported = routers[from].report(now);
         now += ms(30);
         let to = (from + 1) % 5;
         let Some(reported) = reported else {
@@ -53,7 +53,7 @@
 #[test]
 fn a_router_reports_the_youngest_reading_of_its_view() {
     let mut readings = Readings::new(Peer(1));
-    assert_eq!(readings.tell(ms(0)), None);
+    assert_eq!(readings.report(ms(0)), None);
     readings.record(ms(500));
     let older = Reading {
         reader: 7,
@@ -70,7 +70,7 @@
     };
     let at = readings.receive(younger, ms(1_000)).unwrap();
     readings.adopt(younger, at);
-    let reported = readings.tell(ms(1_200)).unwrap();
+    let reported = readings.report(ms(1_200)).unwrap();
     assert_eq!(
         (reported.reader, reported.number, reported.age_ms),
         (7, 2, 300)
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -119,8 +119,8 @@
     let state = node.state.borrow();
     Views {
         configuration: state.table.as_ref().map_or(0, |it| it.version()),
-        configuration_read: state.configuration_reads.tell(now),
-        registry_read: state.registry_reads.tell(now),
+        configuration_read: state.configuration_reads.report(now),
+        registry_read: state.registry_reads.report(now),
         registry_digest: state.registry.digest(),
         registry_position: state.registry_position,
         quarantine: state.quarantine_known.then(|| state.quarantine.digest()),
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -255,7 +255,7 @@
     let state = node.state.borrow();
     let now = node.now();
     let configuration = state.table.as_ref().map(|it| it.configuration().clone());
-    let reading = state.registry_reads.tell(now);
+    let reading = state.registry_reads.report(now);
     let reading = reading.filter(|_| wanted.has(Part::Targets));
     let targets = reading.map(|read| Targets {
         difference: state.registry.differing(&question.targets),
@@ -269,7 +269,7 @@
             .has(Part::Evacuations)
             .then(|| state.evacuations.orders().collect()),
         quarantine: wanted.has(Part::Quarantine).then(|| quarantine.collect()),
-        configuration_read: state.configuration_reads.tell(now),
+        configuration_read: state.configuration_reads.report(now),
         configuration: configuration.filter(|_| wanted.has(Part::Configuration)),
         targets,
     }
