--- a/crates/dispatch/src/membership/receive.rs
+++ b/crates/dispatch/src/membership/receive.rs
@@ -345,8 +345,8 @@
             record.suspected_until = now + self.interval * SUSPICION_INTERVALS;
         }
         if update.condition != record.update.condition {
-            let heard = Change::Updated(update.router.clone(), update.condition);
-            effects.changes.push(heard);
+            let change = Change::Updated(update.router.clone(), update.condition);
+            effects.changes.push(change);
         }
         record.update = update.clone();
         self.broadcasts.push(update);
--- a/crates/dispatch/tests/cells.rs
+++ b/crates/dispatch/tests/cells.rs
@@ -78,7 +78,7 @@
     assert_eq!(cell::count(600, cell::TARGETS_PER_CELL), 12);
 }
 
-fn card(number: u8) -> Descriptor {
+fn descriptor(number: u8) -> Descriptor {
     Descriptor {
         address: ([10, 0, 0, number], 7_400).into(),
         peer: Peer(u64::from(number)),
@@ -93,14 +93,14 @@
 }
 
 fn address(number: u8) -> SocketAddr {
-    card(number).address
+    descriptor(number).address
 }
 
 /// A router's view in which all `others` have settled.
 fn view(own: u8, others: &[u8]) -> Members {
-    let mut members = Members::new(card(own));
+    let mut members = Members::new(descriptor(own));
     for number in others {
-        members.upsert(&card(*number), Condition::Healthy, ms(0));
+        members.upsert(&descriptor(*number), Condition::Healthy, ms(0));
     }
     members
 }
@@ -137,14 +137,14 @@
         owners.collect::<std::collections::HashSet<_>>()
     };
     assert!(owners(&members, ms(2_000)).contains(&address(2)));
-    members.upsert(&card(2), Condition::Overloaded, ms(1_900));
-    members.upsert(&card(3), Condition::Leaving, ms(1_900));
+    members.upsert(&descriptor(2), Condition::Overloaded, ms(1_900));
+    members.upsert(&descriptor(3), Condition::Leaving, ms(1_900));
     assert_eq!(owners(&members, ms(2_000)), [address(1)].into());
     members.set_overloaded(true);
     assert_eq!(owners(&members, ms(2_000)).len(), 2);
     members.set_overloaded(false);
-    members.upsert(&card(2), Condition::Healthy, ms(2_000));
-    members.upsert(&card(4), Condition::Healthy, ms(2_000));
+    members.upsert(&descriptor(2), Condition::Healthy, ms(2_000));
+    members.upsert(&descriptor(4), Condition::Healthy, ms(2_000));
     assert!(!owners(&members, ms(2_100)).contains(&address(4)));
     assert!(owners(&members, ms(3_600)).contains(&address(4)));
     members.leave();
@@ -173,16 +173,16 @@
 #[test]
 fn ended_routers_are_removed_and_a_restarted_one_is_new() {
     let mut members = view(1, &[2, 3]);
-    members.remove(&card(2));
+    members.remove(&descriptor(2));
     assert_eq!((members.count(), members.contains(address(3))), (2, true));
     let restarted = Descriptor {
         peer: Peer(99),
-        ..card(3)
+        ..descriptor(3)
     };
     assert!(members.upsert(&restarted, Condition::Healthy, ms(2_700)));
     assert!(!members.upsert(&restarted, Condition::Healthy, ms(2_800)));
     // The end of an earlier start doesn't remove the current one.
-    members.remove(&card(3));
+    members.remove(&descriptor(3));
     assert!(members.contains(address(3)));
     members.remove(&restarted);
     assert_eq!(members.count(), 1);
