--- a/crates/dispatch/src/target.rs
+++ b/crates/dispatch/src/target.rs
@@ -1,8 +1,8 @@
-//! A target: one start of a server of a service.
+//! A target: one incarnation of a server of a service.
 //!
-//! A server that starts again may do so under the identity that it had. It knows nothing of before
-//! then, so what counts as one target is an identity with the moment of its start ([`Tag`]): what is
-//! known of an earlier start, its load, health, memory and connections, says nothing of the next.
+//! A server may restart under its previous identity. It retains no state from before the restart,
+//! so a target is identified by the identity together with the start time ([`Tag`]): load, health,
+//! memory and connections of an earlier incarnation do not apply to the next one.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,42 +14,43 @@
 /// Whether a target may get new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// It may.
+    /// It may get new work.
     Ready,
     /// It is about to end.
     Leaving,
-    /// Its entry can't be read: it gets no new work until that says again that it may.
+    /// Its entry cannot be read: it gets no new work until a readable entry says that it may.
     Unreadable,
 }
 
 /// A target as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// Identity of the server, which may have it again after a restart.
+    /// Identity of the server, which may keep it across restarts.
     pub id: Arc<str>,
-    /// When it started, in milliseconds of Unix time by its own clock; none on platforms where each
-    /// start has an identity of its own.
+    /// Start time in milliseconds of Unix time by the server's own clock; `None` on platforms where
+    /// each incarnation has an identity of its own.
     pub born: Option<u64>,
     /// Name of its service.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: Arc<str>,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
     /// Whether it may get new work.
     pub state: State,
-    /// How much longer it bears few requests, as of its entry; zero once it is warm.
+    /// Remaining warm-up time, in which it takes few requests, as of its entry; zero once it is
+    /// warm.
     pub cold_left: Duration,
 }
 
-/// Short name of one start of a server in messages and tables.
+/// Compact identifier of one incarnation of a server in messages and tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Tag(pub u32);
 
 impl Target {
-    /// The short name.
+    /// The tag of this incarnation.
     #[must_use]
     pub fn tag(&self) -> Tag {
         match self.born {
@@ -60,17 +61,17 @@
 }
 
 impl Tag {
-    /// The short name of an identity that no other start has.
+    /// The tag of an identity that is never reused.
     #[must_use]
     pub fn new(id: &str) -> Self {
         Self::with_born(id, 0)
     }
 
-    /// The short name of the start of an identity at `born`.
+    /// The tag of the incarnation of `id` that started at `born`.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
-        reason = "a short name is the low half of the hash"
+        reason = "a tag is the low half of the hash"
     )]
     pub fn with_born(id: &str, born: u64) -> Self {
         Self(xxh64(id.as_bytes(), born) as u32)
