--- a/crates/dispatch/src/store.rs
+++ b/crates/dispatch/src/store.rs
@@ -1,42 +1,42 @@
-//! The order of what was read from the platform's store.
+//! Ordering of records read from the platform's store.
 //!
-//! A store that comes back from a copy has lost what was written last: its offsets go back and are
-//! given out again, with other records. It counts how often that happened, in its *era*, so a
-//! [`Position`] is an offset with its era. What an earlier era says is late news; what a new one
-//! lacks may only not have been written again yet, for [`RESTORE_TIME`].
+//! A store that is restored from a backup has lost its latest writes: its offsets go back and are
+//! assigned again, to other records. The store counts its restores in an *era*, so a [`Position`]
+//! is an offset together with its era. Data of an earlier era is stale. Records that a new era
+//! lacks may simply not have been written again yet, for [`RESTORE_TIME`] after the restore.
 
 use std::cmp::Ordering;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// How long operators and targets may take to write again what a copy lacks: the time within which
-/// the platform's pages want the whole fleet back after its worst fault, 15 s at the most.
+/// How long operators and targets may take to rewrite what a backup lacks: the time within which
+/// the platform requires the whole fleet to recover from its worst fault, at most 15 s.
 pub const RESTORE_TIME: Duration = Duration::from_secs(15);
 
-/// Where a record lies in the log of a topic.
+/// Position of a record in the log of a topic.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Position {
-    /// How often the store had come back from a copy.
+    /// Number of times that the store had been restored from a backup.
     pub era: u64,
     /// Offset of the record in that era.
     pub offset: u64,
 }
 
-/// How the era of an answer stands to those known.
+/// How an observed era compares to the newest known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sight {
-    /// It is the newest one.
+    /// It is the newest known era.
     Current,
-    /// It is newer than all before: the store has come back from a copy.
+    /// It is newer than all known eras: the store was restored from a backup.
     Restored,
-    /// It is an earlier one: the answer is late, or what a peer says is.
+    /// It is an earlier era: the answer, or the peer's information, is stale.
     Stale,
 }
 
-/// The newest era that is known.
+/// The newest known era.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Era {
     newest: Option<u64>,
@@ -44,8 +44,8 @@
 }
 
 impl Era {
-    /// An answer of the store, or a peer, names an era. The first one of all is no sign that the
-    /// store has come back from a copy.
+    /// Records the era named by an answer of the store or by a peer. The first era observed does
+    /// not indicate a restore.
     pub fn see(&mut self, era: u64, now: Duration) -> Sight {
         let Some(newest) = self.newest else {
             self.newest = Some(era);
@@ -53,7 +53,7 @@
         };
         match era.cmp(&newest) {
             Ordering::Less => {
-                // Whoever starts after the store came back learns from this that it did.
+                // A router that starts after the restore learns of it this way.
                 self.restored_at.get_or_insert(now);
                 Sight::Stale
             }
@@ -66,19 +66,19 @@
         }
     }
 
-    /// The newest era; none if nothing was heard of the store.
+    /// The newest known era; `None` if the store's era has not been observed.
     #[must_use]
     pub fn newest(&self) -> Option<u64> {
         self.newest
     }
 
-    /// How long ago the store came back from a copy; none if it never did.
+    /// Time since the last known restore of the store; `None` if no restore is known.
     #[must_use]
     pub fn restored_since(&self, now: Duration) -> Option<Duration> {
         self.restored_at.map(|at| now.saturating_sub(at))
     }
 
-    /// Whether what the newest era lacks may not have been written again yet.
+    /// Whether records that the newest era lacks may not have been written again yet.
     #[must_use]
     pub fn restoring(&self, now: Duration) -> bool {
         let since = self.restored_since(now);
