--- a/crates/dispatch/src/evacuation.rs
+++ b/crates/dispatch/src/evacuation.rs
@@ -1,14 +1,15 @@
-//! Failure domains whose targets get nothing until operators take that back.
+//! Evacuated failure domains: their targets get no requests until operators reopen them.
 //!
-//! For each domain the newest order wins, by its [`Position`] in the operators' topic, whoever
-//! brings it: a router that reads the store or a peer. So two routers that tell each other all they
-//! know come to the same orders, in any sequence.
+//! For each domain the newest order wins, by its [`Position`] in the operators' topic, whether a
+//! router received it from the store or from a peer. Routers that exchange all their orders
+//! therefore converge to the same orders, regardless of delivery order.
 //!
-//! A list of the store that lacks a known order ends it. Only if the store has come back from a copy
-//! since, the order may just not have been written again: it stays in force, until the operators say
-//! otherwise or [`RESTORE_TIME`](crate::store::RESTORE_TIME) is over. An order that comes back with
-//! the copy though it was taken back is in force again until that is written again: to leave a
-//! domain empty for a moment too long costs room, to send there breaks a promise.
+//! A known order that is missing from the store's list has ended. The exception is a store restored
+//! from a backup since: the order may not have been written again yet, so it stays in force until
+//! the operators say otherwise or [`RESTORE_TIME`](crate::store::RESTORE_TIME) has passed. An order
+//! that a restore brings back after it was revoked is in force again until its revocation is
+//! written again: leaving a domain empty slightly too long costs capacity, whereas sending requests
+//! there breaks a guarantee.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,56 +20,56 @@
 
 use crate::store::{Era, Position};
 
-/// What operators said last of one failure domain.
+/// The operators' newest order for one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// The failure domain.
     pub domain: Arc<str>,
-    /// Whether its targets are to get nothing.
+    /// Whether its targets get no requests.
     pub evacuated: bool,
-    /// Where the log went on once that was said: just behind its record, or where the list ended
-    /// that lacked it. So the next record, which lies there, is newer.
+    /// Position in the log after this order: just behind its record, or the end of the list that
+    /// lacked it. The next record, which lies at this position, is therefore newer.
     pub at: Position,
 }
 
-/// A change of what is in force.
+/// A change to the orders in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Targets of this domain get nothing from now on.
+    /// Targets of this domain get no more requests.
     Evacuated(Arc<str>),
-    /// They may get work again.
+    /// Targets of this domain may get requests again.
     Reopened(Arc<str>),
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct Status {
     evacuated: bool,
     at: Position,
 }
 
-/// What operators said last of each failure domain.
+/// The operators' newest order for each failure domain.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
-    known: BTreeMap<Arc<str>, Known>,
+    known: BTreeMap<Arc<str>, Status>,
 }
 
 impl Evacuations {
-    /// Whether targets of a domain get nothing.
+    /// Whether the targets of a domain get no requests.
     #[must_use]
     pub fn evacuated(&self, domain: &str) -> bool {
         self.known.get(domain).is_some_and(|it| it.evacuated)
     }
 
-    /// All orders.
+    /// All known orders.
     pub fn orders(&self) -> impl Iterator<Item = Order> {
-        self.known.iter().map(|(domain, known)| Order {
+        self.known.iter().map(|(domain, status)| Order {
             domain: domain.clone(),
-            evacuated: known.evacuated,
-            at: known.at,
+            evacuated: status.evacuated,
+            at: status.at,
         })
     }
 
-    /// Takes an order, unless a newer one is known.
+    /// Applies an order, unless one as new is known.
     pub fn take(&mut self, order: Order) -> Option<Change> {
         let Order {
             domain,
@@ -79,7 +80,7 @@
         if before.is_some_and(|it| it.at >= at) {
             return None;
         }
-        self.known.insert(domain.clone(), Known { evacuated, at });
+        self.known.insert(domain.clone(), Status { evacuated, at });
         match (before.is_some_and(|it| it.evacuated), evacuated) {
             (false, true) => Some(Change::Evacuated(domain)),
             (true, false) => Some(Change::Reopened(domain)),
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Takes the whole list of the store's newest orders, which ended at `end`.
+    /// Applies the full list of the store's newest orders, which ended at `end`.
     pub fn take_list(
         &mut self,
         listed: Vec<Order>,
@@ -95,37 +96,38 @@
         era: &Era,
         now: Duration,
     ) -> Vec<Change> {
-        let ended = self.orders().filter(|it| {
+        let revoked = self.orders().filter(|it| {
             let settled = it.at.era == end.era || !era.restoring(now);
-            let lacks = !listed.iter().any(|listed| listed.domain == it.domain);
-            it.evacuated && it.at < end && settled && lacks
+            let absent = !listed.iter().any(|listed| listed.domain == it.domain);
+            it.evacuated && it.at < end && settled && absent
         });
-        let ended = ended.map(|it| Order {
+        let revoked = revoked.map(|it| Order {
             evacuated: false,
             at: end,
             ..it
         });
-        let ended: Vec<_> = ended.collect();
-        let all = listed.into_iter().chain(ended);
+        let revoked: Vec<_> = revoked.collect();
+        let all = listed.into_iter().chain(revoked);
         all.filter_map(|it| self.take(it)).collect()
     }
 
-    /// Whether an order is in force only as the store may lack it for now, and no longer should be.
+    /// Whether an evacuation of an earlier era is still in force although the time for writing it
+    /// again has passed.
     #[must_use]
     pub fn overdue(&self, era: &Era, now: Duration) -> bool {
         let newest = era.newest();
-        let earlier = |it: &Known| newest.is_some_and(|newest| it.at.era < newest);
+        let earlier = |it: &Status| newest.is_some_and(|newest| it.at.era < newest);
         let mut known = self.known.values();
         !era.restoring(now) && known.any(|it| it.evacuated && earlier(it))
     }
 
-    /// A short sum of all orders; equal ones have equal sums, and none has 0.
+    /// Digest of all orders; equal orders have equal digests, 0 if there are none.
     #[must_use]
     pub fn digest(&self) -> u64 {
-        self.known.iter().fold(0, |seed, (domain, known)| {
-            let seed = xxh64(domain.as_bytes(), seed ^ u64::from(known.evacuated));
-            let seed = xxh64(&known.at.era.to_le_bytes(), seed);
-            xxh64(&known.at.offset.to_le_bytes(), seed)
+        self.known.iter().fold(0, |seed, (domain, status)| {
+            let seed = xxh64(domain.as_bytes(), seed ^ u64::from(status.evacuated));
+            let seed = xxh64(&status.at.era.to_le_bytes(), seed);
+            xxh64(&status.at.offset.to_le_bytes(), seed)
         })
     }
 }
