--- a/crates/dispatch/src/leaving.rs
+++ b/crates/dispatch/src/leaving.rs
@@ -1,12 +1,12 @@
-//! Targets that have said themselves that they are about to end.
+//! Targets that have announced that they are leaving.
 //!
-//! A target's own word is younger than its entry in the platform's list, and comes also while the
-//! store is away. It is a fact of that start of the server, not of the router that heard it: routers
-//! tell it to each other, and nothing takes it back but a new start, which has another [`Tag`]. An
-//! entry that still says ready is only older.
+//! A target's own announcement is newer than its entry in the platform's list, and also arrives
+//! while the store is unavailable. It is a fact about that incarnation of the server, independent
+//! of the router that received it: routers forward it to each other, and only a new incarnation,
+//! which has another [`Tag`], supersedes it. An entry that still says ready is stale.
 //!
-//! Each router keeps all words for [`KEPT`] after they were said, so two routers that tell each other
-//! all they know come to the same ones, in any sequence.
+//! Each router retains every announcement for [`KEPT`] after it was made, so routers that exchange
+//! all their announcements converge to the same set, regardless of delivery order.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,99 +16,101 @@
 
 use crate::target::Tag;
 
-/// How long a word is kept: far longer than a target that leaves goes on, which is many seconds at
-/// the most, so that no late entry brings it back.
+/// How long an announcement is retained: far longer than a leaving target keeps running, which is
+/// many seconds at the most, so that no stale entry makes it ready again.
 pub const KEPT: Duration = Duration::from_mins(10);
 
-/// A target's word as routers tell it.
+/// A target's announcement that it is leaving, as routers exchange it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Word {
     /// The target.
     pub tag: Tag,
-    /// How long ago it said so, to the first router that heard it.
+    /// Time since the first router received the announcement from the target.
     pub age: Duration,
 }
 
-/// Words with a sum, in a message. One that is taken for true though nobody meant it leaves a target
-/// idle for minutes, and a message of another kind differs from one of this by a byte.
+/// Announcements with a checksum, as a message. A false announcement that is accepted leaves a
+/// target idle for minutes, and a single corrupted byte can turn a message of another kind into one
+/// of this kind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     words: Vec<Word>,
-    sum: u64,
+    checksum: u64,
 }
 
 impl Report {
-    /// These words.
+    /// Announcements with their checksum.
     #[must_use]
     pub fn new(words: Vec<Word>) -> Self {
-        let sum = sum(words.iter().map(|it| it.tag));
-        Self { words, sum }
+        let checksum = checksum(words.iter().map(|it| it.tag));
+        Self { words, checksum }
     }
 
-    /// Whether a router can mean this.
+    /// Whether the checksum matches the announcements.
     #[must_use]
     pub fn plausible(&self) -> bool {
-        sum(self.words.iter().map(|it| it.tag)) == self.sum
+        checksum(self.words.iter().map(|it| it.tag)) == self.checksum
     }
 
-    /// The words.
+    /// The announcements.
     #[must_use]
     pub fn words(&self) -> &[Word] {
         &self.words
     }
 }
 
-/// A short sum, in any order; 0 of nothing.
-fn sum(tags: impl Iterator<Item = Tag>) -> u64 {
-    tags.fold(0, |sum, it| sum ^ xxh64(&it.0.to_le_bytes(), 0))
+/// Order-independent checksum of tags; 0 if there are none.
+fn checksum(tags: impl Iterator<Item = Tag>) -> u64 {
+    tags.fold(0, |checksum, it| checksum ^ xxh64(&it.0.to_le_bytes(), 0))
 }
 
-/// All such words.
+/// All retained announcements.
 #[derive(Clone, Debug, Default)]
 pub struct Leaving {
-    /// When each target said it first.
-    said: BTreeMap<Tag, Duration>,
+    /// When each target first announced it.
+    announced: BTreeMap<Tag, Duration>,
 }
 
 impl Leaving {
-    /// A target said at `at` that it leaves; true if that is new.
+    /// Records that a target announced at `at` that it is leaving; returns whether that is new.
     pub fn note(&mut self, tag: Tag, at: Duration) -> bool {
-        let new = !self.said.contains_key(&tag);
-        self.said.entry(tag).or_insert(at);
+        let new = !self.announced.contains_key(&tag);
+        self.announced.entry(tag).or_insert(at);
         new
     }
 
-    /// Takes what a peer tells; the words that are new.
+    /// Merges a peer's announcements; returns those that are new.
     pub fn hear(&mut self, words: &[Word], now: Duration) -> Vec<Word> {
-        let young = words.iter().filter(|it| it.age < KEPT);
-        let new = young.filter(|it| self.note(it.tag, now.saturating_sub(it.age)));
+        let recent = words.iter().filter(|it| it.age < KEPT);
+        let new = recent.filter(|it| self.note(it.tag, now.saturating_sub(it.age)));
         new.copied().collect()
     }
 
-    /// All that is known, for peers.
+    /// All retained announcements, for sending to peers.
     #[must_use]
     pub fn words(&self, now: Duration) -> Vec<Word> {
-        let words = self.said.iter().map(|(tag, at)| Word {
+        let words = self.announced.iter().map(|(tag, at)| Word {
             tag: *tag,
             age: now.saturating_sub(*at),
         });
         words.collect()
     }
 
-    /// Whether a target has said that it leaves.
+    /// Whether a target has announced that it is leaving.
     #[must_use]
     pub fn contains(&self, tag: Tag) -> bool {
-        self.said.contains_key(&tag)
+        self.announced.contains_key(&tag)
     }
 
-    /// A short sum of what is known; 0 for nothing.
+    /// Digest of the retained announcements; 0 if there are none.
     #[must_use]
     pub fn digest(&self) -> u64 {
-        sum(self.said.keys().copied())
+        checksum(self.announced.keys().copied())
     }
 
-    /// Forgets what was said long ago.
+    /// Drops announcements older than [`KEPT`].
     pub fn prune(&mut self, now: Duration) {
-        self.said.retain(|_, at| now.saturating_sub(*at) < KEPT);
+        self.announced
+            .retain(|_, at| now.saturating_sub(*at) < KEPT);
     }
 }
