--- a/crates/dispatch/src/registry.rs
+++ b/crates/dispatch/src/registry.rs
@@ -1,18 +1,20 @@
-//! The targets that are known.
+//! Registry of the known targets.
 //!
-//! The platform's list is read as a whole once, and then what is written behind it ([`Delta`]). A target
-//! that is missing has ended, with one exception: entries lapse while the store is away and come back soon
-//! after it, so after an outage a missing target is kept for [`RETURN_TIME`]. An
-//! outage is a gap between lists, whoever read them: while a peer can read, entries
-//! do not lapse for want of the store. What is kept so is this router's own guess: it
-//! is not told to peers, and a list of a peer that saw no outage ends it.
+//! The platform's list is read in full once; after that only the log records written since are read
+//! ([`Delta`]). A target that is missing from the list has ended, with one exception: entries
+//! expire during a store outage and reappear shortly after it, so after an outage a missing target
+//! is retained for [`RETURN_TIME`]. An outage is a gap between lists, whichever router read them:
+//! as long as a peer can read, entries do not expire because of the store. A retained target is a
+//! local assumption of this router: it is not sent to peers, and a list from a peer that observed
+//! no outage ends it.
 //!
-//! A server may start again under its identity. Its newest start is remembered for longer than any
-//! word of an earlier one is on its way, so such word changes nothing, whoever brings it. An entry
-//! that can't be read suspends its target; what was heard of a drain stays.
+//! A server may restart under the same identity. Its newest incarnation is remembered for longer
+//! than messages about an earlier one can be in flight, so such messages have no effect, whoever
+//! sends them. An entry that cannot be read suspends its target; a drain that was already announced
+//! stays in effect.
 //!
-//! What a target says of itself goes before its entry, which may be old: one that has said that it
-//! leaves ([`crate::leaving`]) does so in every list.
+//! A target's own announcements take precedence over its entry, which may be stale: a target that
+//! has announced that it is leaving ([`crate::leaving`]) is leaving in every list.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -23,50 +25,50 @@
 use crate::region::{Region, Regions};
 use crate::target::{State, Tag, Target};
 
-mod copy;
 mod delta;
+mod incarnations;
 mod index;
-mod leave;
-mod parts;
-mod starts;
+mod leaving;
+mod partition;
+mod restore;
 
-use copy::Copy;
-pub use copy::LAPSE;
 pub use delta::Delta;
-use index::{Index, sum};
-pub use parts::{Difference, Sums};
-pub use starts::START_KEPT;
-use starts::Starts;
-
-/// How long a lapsed entry may take to come back after an outage of the store;
-/// the operators' letter says about two seconds.
+use incarnations::Incarnations;
+pub use incarnations::START_KEPT;
+use index::{Index, checksum};
+pub use partition::{Difference, Sums};
+pub use restore::LAPSE;
+use restore::Restore;
+
+/// How long an expired entry may take to reappear after an outage of the store; operators expect
+/// about two seconds.
 pub const RETURN_TIME: Duration = Duration::from_secs(2);
 
-/// A list that comes this much later than the one before follows an outage. Lists are read
-/// every 0.6 to 1.2 s; entries lapse after three heartbeats of about as long.
+/// Minimum gap between two lists that counts as an outage. Lists are read every 0.6 to 1.2 s;
+/// entries expire after three heartbeats of about that length.
 pub const OUTAGE: Duration = Duration::from_secs(2);
 
-/// How long a target that another one has replaced stays so, whatever its entry says: longer than
-/// word of it is on its way.
-const REPLACED_KEPT: Duration = Duration::from_mins(1);
+/// How long a target that was replaced by another one stays excluded, whatever its entry says:
+/// longer than messages about it can be in flight.
+const REPLACED_RETENTION: Duration = Duration::from_mins(1);
 
-/// A change to what is known.
+/// A change to the known targets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A target is new.
+    /// A target was added, or may get new work again.
     Came(Arc<Target>),
     /// A target is about to end.
     Leaves(Arc<Target>),
-    /// A target's entry can't be read any more: it gets no new work.
+    /// A target's entry can no longer be read: the target gets no new work.
     Suspended(Arc<Target>),
     /// A target has ended.
     Ended(Arc<Target>),
 }
 
-/// A whole list of the platform's entries.
+/// A full list of the platform's entries.
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
-    /// Targets of the entries that could be read.
+    /// Targets whose entries could be read.
     pub targets: Vec<Target>,
     /// Identities whose entries could not be read.
     pub unreadable: Vec<Arc<str>>,
@@ -81,31 +83,32 @@
     }
 }
 
-/// Known targets and the age of that knowledge.
+/// Known targets and the time of the newest list.
 #[derive(Clone, Debug)]
 pub struct Registry {
     cell_targets: usize,
     regions: Arc<Regions>,
     targets: HashMap<Tag, Arc<Target>>,
-    /// The target that each server is listed as.
+    /// Tag of the known incarnation of each server.
     by_id: HashMap<Arc<str>, Tag>,
     index: Index,
     read_at: Option<Duration>,
-    keep_until: Duration,
-    /// From when on a list tells surely what has ended.
+    retain_until: Duration,
+    /// From this time on, absence from a list means that a target has ended.
     settled_from: Duration,
-    /// Targets that are kept though the newest list lacks them.
-    kept: HashSet<Tag>,
-    /// Targets that others have replaced at their addresses, and as of which list.
+    /// Targets that are retained although the newest list lacks them.
+    retained: HashSet<Tag>,
+    /// Targets that were replaced at their addresses, with the time of the list at which that
+    /// happened.
     replaced: HashMap<Tag, Duration>,
-    /// What a store that came back from a copy may tell wrongly.
-    copy: Copy,
-    /// Newest starts of servers that say when they started.
-    starts: Starts,
-    /// Targets that have said themselves that they leave.
+    /// State that guards against stale entries of a store restored from a backup.
+    restore: Restore,
+    /// Newest incarnations of the servers that publish a start time.
+    incarnations: Incarnations,
+    /// Targets that have announced that they are leaving.
     leaving: Leaving,
     digest: u64,
-    sums: Sums,
+    checksums: Sums,
 }
 
 impl Default for Registry {
@@ -125,64 +128,65 @@
             by_id: HashMap::new(),
             index: Index::default(),
             read_at: None,
-            keep_until: Duration::ZERO,
+            retain_until: Duration::ZERO,
             settled_from: Duration::ZERO,
-            kept: HashSet::new(),
+            retained: HashSet::new(),
             replaced: HashMap::new(),
-            copy: Copy::default(),
-            starts: Starts::default(),
+            restore: Restore::default(),
+            incarnations: Incarnations::default(),
             leaving: Leaving::default(),
             digest: 0,
-            sums: Sums::zero(),
+            checksums: Sums::empty(),
         }
     }
 
-    /// Sets how many targets a cell has, about.
+    /// Sets the approximate number of targets per cell.
     #[must_use]
     pub fn with_cell_targets(mut self, targets: usize) -> Self {
         self.cell_targets = targets;
         self
     }
 
-    /// Sets which failure domains lie near each other.
+    /// Sets which failure domains belong to the same region.
     #[must_use]
     pub fn with_regions(mut self, regions: Arc<Regions>) -> Self {
         self.regions = regions;
         self
     }
 
-    /// Takes a whole list that was true at `as_of`; an older list than the known one is ignored.
+    /// Applies a full list as of `as_of`; a list older than the known one is ignored.
     pub fn take(&mut self, list: impl Into<Listing>, as_of: Duration) -> Vec<Change> {
         if self.read_at.is_some_and(|at| as_of < at) {
             return Vec::new();
         }
         let gap = self.read_at.map(|at| as_of.saturating_sub(at));
         if gap.is_some_and(|it| it > OUTAGE) {
-            self.keep_until = as_of + RETURN_TIME;
+            self.retain_until = as_of + RETURN_TIME;
         }
         if gap.is_none_or(|it| it > OUTAGE) {
-            // A router that has just started can't know of an outage before.
+            // A router that has just started cannot know whether an outage preceded it.
             self.settled_from = as_of + RETURN_TIME;
         }
-        self.replace(list.into(), as_of)
+        self.apply_full(list.into(), as_of)
     }
 
-    /// Takes the list of a peer that saw no outage: what is missing there has ended.
+    /// Applies the list of a peer that observed no outage: targets missing from it have ended,
+    /// unless the store was restored from a backup shortly before `as_of`.
     pub fn take_settled(&mut self, list: impl Into<Listing>, as_of: Duration) -> Vec<Change> {
         if self.read_at.is_some_and(|at| as_of < at) {
             return Vec::new();
         }
-        if self.copy.settles(as_of) {
-            self.keep_until = Duration::ZERO;
+        if self.restore.confirms_absence(as_of) {
+            self.retain_until = Duration::ZERO;
             self.settled_from = Duration::ZERO;
         }
-        self.replace(list.into(), as_of)
+        self.apply_full(list.into(), as_of)
     }
 
-    fn replace(&mut self, listing: Listing, as_of: Duration) -> Vec<Change> {
+    fn apply_full(&mut self, listing: Listing, as_of: Duration) -> Vec<Change> {
         self.read_at = Some(as_of);
-        self.kept.clear();
-        let list = self.current(listing, as_of);
+        self.retained.clear();
+        let list = self.reconcile(listing, as_of);
         let mut changes = Vec::new();
         let mut next = HashMap::with_capacity(list.len());
         for target in list {
@@ -190,18 +194,18 @@
                 continue;
             }
             let target = Arc::new(target);
-            changes.extend(self.change(&target));
+            changes.extend(self.change_for(&target));
             next.insert(target.tag(), target);
         }
-        self.end_missing(&mut next, &mut changes, as_of);
+        self.remove_missing(&mut next, &mut changes, as_of);
         self.targets = next;
-        self.index();
+        self.rebuild_index();
         changes
     }
 
-    /// The targets of a list as they stand by all that is known: the newest start of each server,
-    /// suspended if its entry can't be read, and leaving once it has said so.
-    fn current(&mut self, listing: Listing, as_of: Duration) -> Vec<Target> {
+    /// Reconciles a list with what is known: the newest incarnation of each server, suspended if
+    /// its entry cannot be read, and leaving once that was announced.
+    fn reconcile(&mut self, listing: Listing, as_of: Duration) -> Vec<Target> {
         let Listing {
             targets,
             mut unreadable,
@@ -209,22 +213,22 @@
         self.prune(as_of);
         let mut list = Vec::with_capacity(targets.len());
         for target in targets {
-            match self.newest_start(target, as_of) {
-                Ok(target) => list.extend(target.filter(|it| !self.revived(it, as_of))),
+            match self.newest_incarnation(target, as_of) {
+                Ok(target) => list.extend(target.filter(|it| !self.is_resurrected(it, as_of))),
                 Err(id) => unreadable.push(id),
             }
         }
         if !unreadable.is_empty() {
-            list.extend(self.suspended(&unreadable));
+            list.extend(self.suspended_targets(&unreadable));
         }
         for target in &mut list {
-            self.keep_leaving(target);
+            self.preserve_leaving(target);
         }
         list
     }
 
-    /// Nothing that leaves stays after all: an entry that says so is older than it seems.
-    fn keep_leaving(&self, target: &mut Target) {
+    /// Keeps a leaving target leaving: an entry that says otherwise is stale.
+    fn preserve_leaving(&self, target: &mut Target) {
         let tag = target.tag();
         let known = self.targets.get(&tag);
         let leaves = known.is_some_and(|it| it.state == State::Leaving);
@@ -233,29 +237,30 @@
         }
     }
 
-    /// Forgets what is too old to matter.
+    /// Drops state that has outlived its retention period.
     fn prune(&mut self, as_of: Duration) {
-        self.starts.prune(as_of);
-        self.copy.prune(as_of);
+        self.incarnations.prune(as_of);
+        self.restore.prune(as_of);
         self.leaving.prune(as_of);
         self.replaced
-            .retain(|_, at| as_of.saturating_sub(*at) < REPLACED_KEPT);
+            .retain(|_, at| as_of.saturating_sub(*at) < REPLACED_RETENTION);
     }
 
-    /// What a list says of a server, if that is its newest start; else that one, if it is known. An
-    /// entry that says no start though its server has said one is of another writer.
-    fn newest_start(
+    /// Returns the listed target if it is the newest incarnation of its server, else the newest one
+    /// if it is known. An entry without a start time, for a server that has published one, comes
+    /// from another writer and returns the identity as an error.
+    fn newest_incarnation(
         &mut self,
         target: Target,
         as_of: Duration,
     ) -> Result<Option<Target>, Arc<str>> {
         let Some(born) = target.born else {
-            return match self.starts.newest(&target.id) {
+            return match self.incarnations.newest(&target.id) {
                 Some(_) => Err(target.id),
                 None => Ok(Some(target)),
             };
         };
-        let newest = self.starts.note(&target.id, born, as_of);
+        let newest = self.incarnations.record(&target.id, born, as_of);
         if born == newest {
             return Ok(Some(target));
         }
@@ -263,8 +268,8 @@
         Ok(known.map(|it| it.as_ref().clone()))
     }
 
-    /// Known targets whose entries can't be read.
-    fn suspended(&self, unreadable: &[Arc<str>]) -> Vec<Target> {
+    /// Known targets among the unreadable identities, marked unreadable.
+    fn suspended_targets(&self, unreadable: &[Arc<str>]) -> Vec<Target> {
         let ids: HashSet<&str> = unreadable.iter().map(AsRef::as_ref).collect();
         let known = self.targets.values();
         let known = known.filter(|it| ids.contains(it.id.as_ref()));
@@ -275,8 +280,8 @@
         suspended.collect()
     }
 
-    /// What is new about a target.
-    fn change(&self, target: &Arc<Target>) -> Option<Change> {
+    /// The change that a target's new state amounts to, if any.
+    fn change_for(&self, target: &Arc<Target>) -> Option<Change> {
         let known = self.targets.get(&target.tag());
         if known.is_some_and(|it| it.state == target.state) {
             return None;
@@ -290,14 +295,14 @@
         })
     }
 
-    /// Ends what the newest list lacks, but for what is kept after an outage.
-    fn end_missing(
+    /// Ends targets that the newest list lacks, except those retained after an outage.
+    fn remove_missing(
         &mut self,
         next: &mut HashMap<Tag, Arc<Target>>,
         changes: &mut Vec<Change>,
         as_of: Duration,
     ) {
-        let keep = as_of < self.keep_until;
+        let retain = as_of < self.retain_until;
         let missing = self
             .targets
             .iter()
@@ -307,82 +312,83 @@
             let replaced = next
                 .values()
                 .any(|it| it.address == old.address || it.id == old.id);
-            if keep && !replaced {
+            if retain && !replaced {
                 next.insert(tag, old);
-                self.kept.insert(tag);
+                self.retained.insert(tag);
             } else {
-                self.copy.ended(tag, as_of);
+                self.restore.record_ended(tag, as_of);
                 changes.push(Change::Ended(old));
             }
         }
     }
 
-    /// A server says that it started at `born`: what is known of an earlier start has ended.
+    /// Records that a server reported a start at `born`, and ends its earlier incarnation.
     pub fn supersede(&mut self, id: &str, born: u64, now: Duration) -> Option<Change> {
-        if self.starts.newest(id).is_some_and(|it| it >= born) {
+        if self.incarnations.newest(id).is_some_and(|it| it >= born) {
             return None;
         }
-        self.starts.note(&id.into(), born, now);
+        self.incarnations.record(&id.into(), born, now);
         let old = self.targets.values().find(|it| it.id.as_ref() == id)?;
         let old = old.clone();
         self.targets.remove(&old.tag());
-        self.index();
+        self.rebuild_index();
         Some(Change::Ended(old))
     }
 
-    /// A peer had the same list, true at `as_of`.
+    /// Advances the time of the list to `as_of` if a peer's list as of then has the same digest.
     pub fn confirm(&mut self, digest: u64, as_of: Duration) {
         if digest == self.digest && self.read_at.is_some_and(|at| as_of > at) {
             self.read_at = Some(as_of);
         }
     }
 
-    /// A short sum of the list; equal lists have equal ones.
+    /// Digest of the list; equal lists have equal digests.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Forgets a target that another one has replaced at its address, also if it is still listed.
+    /// Removes a target that was replaced by another one at its address, even if it is still
+    /// listed.
     pub fn forget(&mut self, tag: Tag) {
         let read_at = self.read_at.unwrap_or_default();
         self.replaced.insert(tag, read_at);
         if self.targets.remove(&tag).is_some() {
-            self.index();
+            self.rebuild_index();
         }
     }
 
-    fn index(&mut self) {
+    fn rebuild_index(&mut self) {
         self.index = Index::new(self.targets.values(), self.cell_targets, &self.regions);
         let by_id = self.targets.iter();
         self.by_id = by_id.map(|(tag, it)| (it.id.clone(), *tag)).collect();
-        let mut sums = Sums::zero();
+        let mut checksums = Sums::empty();
         let mut digest = 0;
         for target in self.listed() {
-            digest ^= sum(target);
-            sums.flip(target);
+            digest ^= checksum(target);
+            checksums.toggle(target);
         }
-        self.sums = sums;
+        self.checksums = checksums;
         self.digest = digest;
     }
 
-    /// A target is new, or something about it is.
+    /// Adds a target, or replaces it if it is known.
     fn insert(&mut self, target: Arc<Target>) {
         let tag = target.tag();
-        self.digest ^= sum(&target);
-        self.sums.flip(&target);
-        self.index.put(&target, self.cell_targets, &self.regions);
+        self.digest ^= checksum(&target);
+        self.checksums.toggle(&target);
+        self.index.insert(&target, self.cell_targets, &self.regions);
         self.by_id.insert(target.id.clone(), tag);
         if let Some(old) = self.targets.insert(tag, target) {
-            self.digest ^= sum(&old);
-            self.sums.flip(&old);
+            self.digest ^= checksum(&old);
+            self.checksums.toggle(&old);
         }
     }
 
     fn remove(&mut self, tag: Tag) -> Option<Arc<Target>> {
         let old = self.targets.remove(&tag)?;
-        self.digest ^= sum(&old);
-        self.sums.flip(&old);
+        self.digest ^= checksum(&old);
+        self.checksums.toggle(&old);
         self.index.remove(&old, self.cell_targets, &self.regions);
         self.by_id.remove(&old.id);
         Some(old)
@@ -405,7 +411,7 @@
         self.regions.of(&target.domain)
     }
 
-    /// Targets of a cell, in the order of their identities.
+    /// Targets of a cell, ordered by identity.
     #[must_use]
     pub fn of_cell(&self, cell: Cell) -> &[Arc<Target>] {
         let cells = self.cells(cell.service, cell.region);
@@ -432,37 +438,37 @@
         }
     }
 
-    /// Targets of a service, in the order of their identities.
+    /// Targets of a service, ordered by identity.
     #[must_use]
     pub fn of(&self, service: &str) -> &[Arc<Target>] {
-        self.index.of(service)
+        self.index.service_targets(service)
     }
 
-    /// Targets of the newest list, without those that are kept for a while.
+    /// Targets of the newest list, without those that are retained after an outage.
     pub fn listed(&self) -> impl Iterator<Item = &Arc<Target>> {
         let targets = self.targets.iter();
-        let listed = targets.filter(|(tag, _)| !self.kept.contains(tag));
+        let listed = targets.filter(|(tag, _)| !self.retained.contains(tag));
         listed.map(|(_, target)| target)
     }
 
-    /// Whether no outage of late leaves it open which targets have ended.
+    /// Whether no recent outage leaves it uncertain which targets have ended.
     #[must_use]
     pub fn settled(&self) -> bool {
         self.read_at.is_some_and(|at| at >= self.settled_from)
     }
 
-    /// All targets.
+    /// All targets, including those that are retained after an outage.
     pub fn all(&self) -> impl Iterator<Item = &Arc<Target>> {
         self.targets.values()
     }
 
-    /// A target by its short name.
+    /// Looks up a target by its tag.
     #[must_use]
     pub fn get(&self, tag: Tag) -> Option<&Arc<Target>> {
         self.targets.get(&tag)
     }
 
-    /// When the newest list was true.
+    /// Time as of which the newest list holds.
     #[must_use]
     pub fn read_at(&self) -> Option<Duration> {
         self.read_at
--- a/crates/dispatch/src/registry/index.rs
+++ b/crates/dispatch/src/registry/index.rs
@@ -1,4 +1,4 @@
-//! Targets by service and cell, and the sum by which lists are compared.
+//! Index of targets by service and cell, and the checksum by which lists are compared.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -9,10 +9,10 @@
 use crate::region::{Region, Regions};
 use crate::target::{State, Target};
 
-/// The targets of the cells of a service in one region.
+/// The targets of each cell of a service in one region.
 type Cells = Vec<Vec<Arc<Target>>>;
 
-/// All known targets by service, and each service cut into cells.
+/// All known targets by service, and each service partitioned into cells.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Index {
     by_service: HashMap<Arc<str>, Vec<Arc<Target>>>,
@@ -20,7 +20,7 @@
 }
 
 impl Index {
-    /// Of these targets, in cells of about `cell_targets`.
+    /// Indexes targets, in cells of about `cell_targets` each.
     pub(super) fn new<'a>(
         targets: impl Iterator<Item = &'a Arc<Target>>,
         cell_targets: usize,
@@ -37,18 +37,18 @@
         let cells = by_service
             .iter()
             .map(|(service, targets)| {
-                let parts = by_region(targets, regions).into_iter();
-                let parts = parts.map(|(region, it)| (region, cut(&it, cell_targets)));
+                let parts = group_by_region(targets, regions).into_iter();
+                let parts = parts.map(|(region, it)| (region, partition(&it, cell_targets)));
                 (ServiceTag::new(service), parts.collect())
             })
             .collect();
         Self { by_service, cells }
     }
 
-    /// A target is new, or something about it is.
-    pub(super) fn put(&mut self, target: &Arc<Target>, cell_targets: usize, regions: &Regions) {
+    /// Adds a target, or replaces it if it is known.
+    pub(super) fn insert(&mut self, target: &Arc<Target>, cell_targets: usize, regions: &Regions) {
         let targets = self.by_service.entry(target.service.clone()).or_default();
-        let new = put(targets, target);
+        let new = upsert(targets, target);
         let region = regions.of(&target.domain);
         let parts = self.cells.entry(ServiceTag::new(&target.service));
         let cells = parts.or_default().entry(region).or_default();
@@ -56,13 +56,13 @@
         let count = cell::count(size, cell_targets);
         if cells.len() == usize::from(count) {
             let index = cell::index(target.tag(), count);
-            put(&mut cells[usize::from(index)], target);
+            upsert(&mut cells[usize::from(index)], target);
         } else {
-            *cells = cut(&of_region(targets, region, regions), cell_targets);
+            *cells = partition(&targets_in_region(targets, region, regions), cell_targets);
         }
     }
 
-    /// A target has ended.
+    /// Removes a target.
     pub(super) fn remove(&mut self, target: &Target, cell_targets: usize, regions: &Regions) {
         let Some(targets) = self.by_service.get_mut(&target.service) else {
             return;
@@ -83,12 +83,12 @@
         if left == 0 {
             parts.remove(&region);
         } else if cells.len() != usize::from(cell::count(left, cell_targets)) {
-            *cells = cut(&of_region(targets, region, regions), cell_targets);
+            *cells = partition(&targets_in_region(targets, region, regions), cell_targets);
         }
     }
 
-    /// Targets of a service, in the order of their identities.
-    pub(super) fn of(&self, service: &str) -> &[Arc<Target>] {
+    /// Targets of a service, ordered by identity.
+    pub(super) fn service_targets(&self, service: &str) -> &[Arc<Target>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
@@ -124,27 +124,34 @@
     }
 }
 
-/// Puts a target in its place in the order of identities; whether it is new.
-fn put(targets: &mut Vec<Arc<Target>>, target: &Arc<Target>) -> bool {
+/// Inserts or replaces a target in a list ordered by identity; returns whether it is new.
+fn upsert(targets: &mut Vec<Arc<Target>>, target: &Arc<Target>) -> bool {
     match targets.binary_search_by(|it| it.id.cmp(&target.id)) {
-        Ok(place) => {
-            targets[place] = target.clone();
+        Ok(position) => {
+            targets[position] = target.clone();
             false
         }
-        Err(place) => {
-            targets.insert(place, target.clone());
+        Err(position) => {
+            targets.insert(position, target.clone());
             true
         }
     }
 }
 
-fn of_region(targets: &[Arc<Target>], region: Region, regions: &Regions) -> Vec<Arc<Target>> {
-    let near = targets.iter();
-    let near = near.filter(|it| regions.of(&it.domain) == region);
-    near.cloned().collect()
+fn targets_in_region(
+    targets: &[Arc<Target>],
+    region: Region,
+    regions: &Regions,
+) -> Vec<Arc<Target>> {
+    let local = targets.iter();
+    let local = local.filter(|it| regions.of(&it.domain) == region);
+    local.cloned().collect()
 }
 
-fn by_region(targets: &[Arc<Target>], regions: &Regions) -> BTreeMap<Region, Vec<Arc<Target>>> {
+fn group_by_region(
+    targets: &[Arc<Target>],
+    regions: &Regions,
+) -> BTreeMap<Region, Vec<Arc<Target>>> {
     let mut parts: BTreeMap<_, Vec<_>> = BTreeMap::new();
     for target in targets {
         let part = parts.entry(regions.of(&target.domain)).or_default();
@@ -153,8 +160,8 @@
     parts
 }
 
-/// Cuts the targets of a service in one region into cells.
-fn cut(targets: &[Arc<Target>], cell_targets: usize) -> Cells {
+/// Partitions the targets of a service in one region into cells.
+fn partition(targets: &[Arc<Target>], cell_targets: usize) -> Cells {
     let count = cell::count(targets.len(), cell_targets);
     let mut cells = vec![Vec::new(); usize::from(count)];
     for target in targets {
@@ -164,8 +171,8 @@
     cells
 }
 
-/// A short sum of what lists are compared by.
-pub(super) fn sum(target: &Target) -> u64 {
+/// Checksum of the fields by which lists are compared.
+pub(super) fn checksum(target: &Target) -> u64 {
     let state = match target.state {
         State::Ready => 0,
         State::Leaving => 1,
--- a/crates/dispatch/src/registry/leave.rs
+++ b/crates/dispatch/src/registry/leaving.rs
@@ -1,4 +1,4 @@
-//! What targets say themselves of their leaving, against what lists say.
+//! Precedence of targets' own announcements that they are leaving over the platform's list.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,34 +8,37 @@
 use crate::target::{State, Tag};
 
 impl Registry {
-    /// A target says itself that it leaves: whether that is new, and the change that follows.
+    /// Records a target's announcement that it is leaving; returns whether it is new, and the
+    /// change that results.
     pub fn says_leaving(&mut self, tag: Tag, now: Duration) -> (bool, Option<Change>) {
         let new = self.leaving.note(tag, now);
-        (new, self.leave(tag))
+        (new, self.mark_leaving(tag))
     }
 
-    /// Takes what a peer tells of targets that have said that they leave: the words that are new, and
-    /// the changes that follow.
+    /// Merges a peer's announcements; returns those that are new, and the changes that result.
     pub fn hear_leaving(&mut self, words: &[Word], now: Duration) -> (Vec<Word>, Vec<Change>) {
         let new = self.leaving.hear(words, now);
-        let changes = new.iter().filter_map(|it| self.leave(it.tag)).collect();
+        let changes = new
+            .iter()
+            .filter_map(|it| self.mark_leaving(it.tag))
+            .collect();
         (new, changes)
     }
 
-    /// What targets have said of their leaving.
+    /// The retained announcements.
     #[must_use]
     pub fn leaving(&self) -> &Leaving {
         &self.leaving
     }
 
-    fn leave(&mut self, tag: Tag) -> Option<Change> {
+    fn mark_leaving(&mut self, tag: Tag) -> Option<Change> {
         let known = self.targets.get_mut(&tag)?;
         if known.state == State::Leaving {
             return None;
         }
         Arc::make_mut(known).state = State::Leaving;
         let change = Change::Leaves(known.clone());
-        self.index();
+        self.rebuild_index();
         Some(change)
     }
 }
