--- a/crates/dispatch/tests/delta.rs
+++ b/crates/dispatch/tests/delta.rs
@@ -1,4 +1,4 @@
-//! Lists that are told by what has changed: the same as whole lists.
+//! Incremental updates and peer differences give the same registry as full lists.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,8 +8,8 @@
 use dunlinward_dispatch::target::{State, Target};
 use proptest::prelude::*;
 
-/// Time between two readings.
-const STEP: Duration = Duration::from_millis(600);
+/// Interval between two reads of the list.
+const READ_INTERVAL: Duration = Duration::from_millis(600);
 
 fn target(number: u16, state: State) -> Target {
     Target {
@@ -29,7 +29,7 @@
     listed.map(|it| (it.id.clone(), it.state)).collect()
 }
 
-/// All that is found by service and cell, and the sums of parts.
+/// All targets by service and by cell, and the checksums of the parts.
 fn indexed(registry: &Registry) -> impl PartialEq + std::fmt::Debug + use<> {
     let ids = |targets: &[Arc<Target>]| targets.iter().map(|it| it.id.clone()).collect::<Vec<_>>();
     let mut cells: Vec<_> = registry
@@ -40,48 +40,49 @@
     (ids(registry.of("pool")), cells, registry.sums())
 }
 
-fn some(count: u16) -> Vec<Target> {
+fn ready_targets(count: u16) -> Vec<Target> {
     (0..count).map(|it| target(it, State::Ready)).collect()
 }
 
-/// What happens to a target between two readings.
+/// A change to a target between two reads.
 #[derive(Clone, Copy, Debug)]
-enum Event {
+enum Update {
     Written,
-    Leaves,
+    Leaving,
     Dropped,
 }
 
-fn events() -> impl Strategy<Value = Vec<Vec<(u16, Event)>>> {
-    let event = prop_oneof![
-        Just(Event::Written),
-        Just(Event::Leaves),
-        Just(Event::Dropped)
+fn updates() -> impl Strategy<Value = Vec<Vec<(u16, Update)>>> {
+    let update = prop_oneof![
+        Just(Update::Written),
+        Just(Update::Leaving),
+        Just(Update::Dropped)
     ];
-    prop::collection::vec(prop::collection::vec((0u16..24, event), 0..6), 1..12)
+    prop::collection::vec(prop::collection::vec((0u16..24, update), 0..6), 1..12)
 }
 
 proptest! {
-    /// A router that reads what is written, one that reads whole lists, and one that is told by the first
-    /// what differs, know the same after each reading.
+    /// A router that reads the log, one that reads full lists, and one that receives the
+    /// differences from the first have the same state after each read.
     #[test]
-    fn what_is_written_and_what_differs_say_the_same_as_whole_lists(rounds in events()) {
-        let mut store: BTreeMap<u16, Target> = (0..12).map(|it| (it, target(it, State::Ready))).collect();
-        let whole = |store: &BTreeMap<u16, Target>| store.values().cloned().collect::<Vec<_>>();
+    fn deltas_and_differences_give_the_same_state_as_full_lists(rounds in updates()) {
+        let mut store: BTreeMap<u16, Target> =
+            (0..12).map(|it| (it, target(it, State::Ready))).collect();
+        let full_list = |store: &BTreeMap<u16, Target>| store.values().cloned().collect::<Vec<_>>();
         let new = || Registry::new().with_cell_targets(3);
-        let (mut reader, mut naive, mut peer) = (new(), new(), new());
-        for registry in [&mut reader, &mut naive, &mut peer] {
-            registry.take(whole(&store), STEP);
+        let (mut log_reader, mut full_reader, mut peer) = (new(), new(), new());
+        for registry in [&mut log_reader, &mut full_reader, &mut peer] {
+            registry.take(full_list(&store), READ_INTERVAL);
         }
-        for (round, happened) in (2u32..).zip(rounds) {
-            let as_of = STEP * round;
+        for (round, updates) in (2u32..).zip(rounds) {
+            let as_of = READ_INTERVAL * round;
             let mut touched = BTreeSet::new();
-            for (number, event) in happened {
+            for (number, update) in updates {
                 touched.insert(number);
-                match event {
-                    Event::Written => drop(store.insert(number, target(number, State::Ready))),
-                    Event::Leaves => drop(store.insert(number, target(number, State::Leaving))),
-                    Event::Dropped => drop(store.remove(&number)),
+                match update {
+                    Update::Written => drop(store.insert(number, target(number, State::Ready))),
+                    Update::Leaving => drop(store.insert(number, target(number, State::Leaving))),
+                    Update::Dropped => drop(store.remove(&number)),
                 }
             }
             let mut delta = Delta::default();
@@ -91,79 +92,79 @@
                     None => delta.dropped.push(target(number, State::Ready).id),
                 }
             }
-            reader.take_delta(delta, as_of);
-            naive.take(whole(&store), as_of);
-            prop_assert_eq!(listed(&reader), listed(&naive));
-            prop_assert_eq!(reader.digest(), naive.digest());
-            prop_assert_eq!(reader.read_at(), Some(as_of));
-            prop_assert_eq!(indexed(&reader), indexed(&naive));
-            let difference = reader.differing(&peer.sums());
-            let delta = peer.delta_of(difference).expect("nothing changed meanwhile");
+            log_reader.take_delta(delta, as_of);
+            full_reader.take(full_list(&store), as_of);
+            prop_assert_eq!(listed(&log_reader), listed(&full_reader));
+            prop_assert_eq!(log_reader.digest(), full_reader.digest());
+            prop_assert_eq!(log_reader.read_at(), Some(as_of));
+            prop_assert_eq!(indexed(&log_reader), indexed(&full_reader));
+            let difference = log_reader.differing(&peer.sums());
+            let delta = peer.delta_of(difference).expect("the list has not changed since");
             peer.take_told(delta, round % 2 == 0, as_of);
-            prop_assert_eq!(listed(&peer), listed(&reader));
-            prop_assert_eq!(peer.digest(), reader.digest());
-            prop_assert_eq!(indexed(&peer), indexed(&reader));
+            prop_assert_eq!(listed(&peer), listed(&log_reader));
+            prop_assert_eq!(peer.digest(), log_reader.digest());
+            prop_assert_eq!(indexed(&peer), indexed(&log_reader));
         }
     }
 }
 
 #[test]
-fn what_only_says_that_a_target_is_there_changes_nothing() {
+fn an_unchanged_entry_that_is_written_again_changes_nothing() {
     let mut registry = Registry::new();
-    registry.take(some(20), STEP);
+    registry.take(ready_targets(20), READ_INTERVAL);
     let delta = Delta {
-        written: some(20),
+        written: ready_targets(20),
         ..Delta::default()
     };
-    assert!(registry.take_delta(delta, 2 * STEP).is_empty());
-    assert_eq!(registry.read_at(), Some(2 * STEP));
+    assert!(registry.take_delta(delta, 2 * READ_INTERVAL).is_empty());
+    assert_eq!(registry.read_at(), Some(2 * READ_INTERVAL));
 }
 
 #[test]
-fn an_entry_that_lapses_over_an_outage_is_kept_as_with_whole_lists() {
+fn an_entry_that_expires_during_an_outage_is_retained_as_with_full_lists() {
     let mut registry = Registry::new();
-    registry.take(some(2), STEP);
+    registry.take(ready_targets(2), READ_INTERVAL);
     let dropped = Delta {
         dropped: vec![target(1, State::Ready).id],
         ..Delta::default()
     };
-    let back = STEP + OUTAGE + Duration::from_millis(1);
+    let back = READ_INTERVAL + OUTAGE + Duration::from_millis(1);
     assert!(registry.take_delta(dropped, back).is_empty());
     assert_eq!(registry.of("pool").len(), 2);
-    // It has not come back.
+    // The entry has not reappeared.
     let changes = registry.take_delta(Delta::default(), back + OUTAGE);
     assert_eq!(changes.len(), 1);
     assert_eq!(registry.of("pool").len(), 1);
 }
 
 #[test]
-fn a_difference_to_a_list_that_has_changed_meanwhile_is_not_merged() {
+fn a_difference_to_a_list_that_has_since_changed_is_not_merged() {
     let (mut one, mut other) = (Registry::new(), Registry::new());
-    one.take(some(200), STEP);
-    other.take(some(150), STEP);
+    one.take(ready_targets(200), READ_INTERVAL);
+    other.take(ready_targets(150), READ_INTERVAL);
     let difference = one.differing(&other.sums());
-    other.take(some(100), 2 * STEP);
+    other.take(ready_targets(100), 2 * READ_INTERVAL);
     assert!(other.delta_of(difference).is_none());
 }
 
-/// Bytes of a question and its answer for one change, as two routers tell each other.
-fn exchanged(count: u16) -> usize {
+/// Encoded bytes of a request and its answer for one change, as exchanged by two routers.
+fn exchanged_bytes(count: u16) -> usize {
     let (mut old, mut new) = (Registry::new(), Registry::new());
-    old.take(some(count), STEP);
-    let mut list = some(count);
+    old.take(ready_targets(count), READ_INTERVAL);
+    let mut list = ready_targets(count);
     list[0].state = State::Leaving;
-    new.take(list, STEP);
-    let encode = bincode::config::standard();
-    let question = bincode::serde::encode_to_vec(old.sums(), encode).unwrap();
+    new.take(list, READ_INTERVAL);
+    let config = bincode::config::standard();
+    let request = bincode::serde::encode_to_vec(old.sums(), config).unwrap();
     let answer = new.differing(&old.sums());
-    let answer = bincode::serde::encode_to_vec(&answer, encode).unwrap();
-    question.len() + answer.len()
+    let answer = bincode::serde::encode_to_vec(&answer, config).unwrap();
+    request.len() + answer.len()
 }
 
-/// The whole list grows with the targets: 0.5 MB for 10,000.
+/// Sending the whole list instead would grow with the number of targets: 0.5 MB for 10,000.
 #[test]
-fn what_routers_tell_each_other_of_a_change_does_not_follow_the_list() {
-    let (small, large) = (exchanged(1_000), exchanged(20_000));
+fn exchanged_bytes_for_one_change_do_not_grow_with_the_list() {
+    let (small, large) = (exchanged_bytes(1_000), exchanged_bytes(20_000));
     assert!(small < 2_500, "{small}");
     assert!(large < 8_500, "{large}");
 }
