--- a/crates/dispatch/tests/starts.rs
+++ b/crates/dispatch/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! Targets that start again under the identity that they had, and entries that can't be read.
+//! Targets that restart under the same identity, and entries that cannot be read.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -36,7 +36,7 @@
     }
 }
 
-/// Starts that may get new work, by identity and start.
+/// Identity and start time of the targets that may get new work.
 fn usable(registry: &Registry) -> Vec<(Arc<str>, Option<u64>)> {
     let ready = registry.of("pool").iter();
     let ready = ready.filter(|it| it.state == State::Ready);
@@ -47,9 +47,10 @@
     vec![(id.into(), Some(born))]
 }
 
-/// A server crashed and was back within one interval of the list, at its address or at another one.
+/// A server crashed and restarted between two reads of the list, at the same address or at another
+/// one.
 #[test]
-fn a_new_start_is_a_new_target_and_ends_the_earlier_one() {
+fn a_new_incarnation_is_a_new_target_and_ends_the_earlier_one() {
     for port in [1, 2] {
         let mut registry = Registry::new();
         registry.take(vec![target("a", 1_000, 1)], ms(0));
@@ -63,9 +64,9 @@
     }
 }
 
-/// Nothing that leaves is ready again, but who starts again is another one.
+/// A leaving target never becomes ready again, but a new incarnation is another target.
 #[test]
-fn a_target_that_left_may_be_used_at_once_when_it_has_started_again() {
+fn a_restarted_server_is_usable_at_once_after_leaving() {
     let mut registry = Registry::new();
     registry.take(vec![leaving(target("a", 1_000, 1))], ms(0));
     registry.take(vec![target("a", 1_000, 1)], ms(500));
@@ -74,10 +75,10 @@
     assert_eq!(usable(&registry), only("a", 2_000));
 }
 
-/// Word of an earlier start comes late: from a peer that holds an older view, or from a store that
-/// answers with what it had.
+/// Information about an earlier incarnation arrives late: from a peer with an older view, or from a
+/// store that answers with stale data.
 #[test]
-fn an_older_start_after_a_newer_one_changes_nothing() {
+fn an_older_incarnation_after_a_newer_one_changes_nothing() {
     for settled in [false, true] {
         let mut registry = Registry::new();
         registry.take(vec![target("a", 2_000, 1)], ms(0));
@@ -92,9 +93,9 @@
     }
 }
 
-/// The newer start has ended meanwhile: the older one doesn't come back for it.
+/// The newer incarnation has ended meanwhile: the older one does not take its place.
 #[test]
-fn an_older_start_is_no_target_also_when_the_newer_one_has_ended() {
+fn an_older_incarnation_is_ignored_after_the_newer_one_has_ended() {
     let mut registry = Registry::new();
     registry.take(vec![target("a", 2_000, 1)], ms(0));
     registry.take(Vec::new(), ms(900));
@@ -104,9 +105,9 @@
     assert!(START_KEPT > ms(1_800));
 }
 
-/// A server's clock was set back before it started again: it is not left out for ever.
+/// A server's clock was set back before it restarted: the server is not excluded forever.
 #[test]
-fn a_start_that_seems_older_counts_when_the_newer_was_not_listed_for_long() {
+fn a_seemingly_older_incarnation_is_accepted_once_the_newer_one_is_forgotten() {
     let mut registry = Registry::new();
     registry.take(vec![target("a", 2_000, 1)], ms(0));
     let seconds = START_KEPT.as_secs();
@@ -118,21 +119,21 @@
     assert_eq!(usable(&registry), only("a", 1_000));
 }
 
-/// The store is away while a server starts again elsewhere: what is kept for those that may come
-/// back is not kept for it.
+/// A server restarts at another address while the store is unavailable: its earlier incarnation is
+/// not retained as targets that may reappear are.
 #[test]
-fn after_an_outage_an_earlier_start_is_not_kept_beside_the_next() {
+fn after_an_outage_an_earlier_incarnation_is_not_retained_beside_the_next() {
     let mut registry = Registry::new();
     registry.take(vec![target("a", 1_000, 1), target("b", 1_000, 2)], ms(0));
     registry.take(vec![target("a", 2_000, 3)], OUTAGE + ms(1));
-    let starts = registry.of("pool").iter();
-    let starts: Vec<_> = starts.map(|it| (it.id.as_ref(), it.born)).collect();
-    assert_eq!(starts, [("a", Some(2_000)), ("b", Some(1_000))]);
+    let incarnations = registry.of("pool").iter();
+    let incarnations: Vec<_> = incarnations.map(|it| (it.id.as_ref(), it.born)).collect();
+    assert_eq!(incarnations, [("a", Some(2_000)), ("b", Some(1_000))]);
 }
 
-/// A target itself says that it has started again, before its entry does.
+/// A target reports its restart before its entry does.
 #[test]
-fn a_start_that_has_been_superseded_gets_no_new_work() {
+fn a_superseded_incarnation_gets_no_new_work() {
     let mut registry = Registry::new();
     registry.take(vec![target("a", 1_000, 1)], ms(0));
     let old = Arc::new(target("a", 1_000, 1));
@@ -148,7 +149,7 @@
 }
 
 #[test]
-fn lists_with_another_start_of_a_server_differ() {
+fn lists_with_different_incarnations_of_a_server_differ() {
     let mut one = Registry::new();
     let mut other = Registry::new();
     one.take(vec![target("a", 1_000, 1)], ms(0));
@@ -156,9 +157,9 @@
     assert_ne!(one.digest(), other.digest());
 }
 
-/// Platforms where each start has an identity of its own say no start.
+/// On platforms where each incarnation has an identity of its own, entries have no start time.
 #[test]
-fn a_target_without_a_start_is_what_it_was() {
+fn a_target_without_a_start_time_is_unchanged_by_the_next_list() {
     let mut registry = Registry::new();
     let plain = Target {
         born: None,
@@ -169,31 +170,32 @@
     assert_eq!(usable(&registry), [("a".into(), None)]);
 }
 
-/// Another writer has overwritten an entry: its target gets no new work, and what runs there runs
-/// on, until the entry can be read again or is gone.
+/// Another writer has overwritten an entry: its target gets no new work, and requests running there
+/// continue, until the entry can be read again or is gone.
 #[test]
-fn an_entry_that_turns_unreadable_suspends_its_target() {
+fn an_entry_that_becomes_unreadable_suspends_its_target() {
     let mut registry = Registry::new();
     let both = || vec![target("a", 1_000, 1), target("b", 1_000, 2)];
     registry.take(both(), ms(0));
-    let spoilt = unreadable(vec![target("b", 1_000, 2)], "a");
-    let changes = registry.take(spoilt.clone(), ms(900));
+    let overwritten = unreadable(vec![target("b", 1_000, 2)], "a");
+    let changes = registry.take(overwritten.clone(), ms(900));
     assert!(matches!(&changes[..], [Change::Suspended(it)] if it.id.as_ref() == "a"));
     assert_eq!(usable(&registry), only("b", 1_000));
-    assert_eq!(registry.take(spoilt, ms(1_800)), []);
+    assert_eq!(registry.take(overwritten, ms(1_800)), []);
     assert!(registry.get(target("a", 1_000, 1).tag()).is_some());
     let changes = registry.take(both(), ms(2_700));
     assert!(matches!(&changes[..], [Change::Came(it)] if it.id.as_ref() == "a"));
     assert_eq!(usable(&registry).len(), 2);
     let unknown = unreadable(both(), "c");
     assert_eq!(registry.take(unknown, ms(3_600)), []);
-    let gone = registry.take(vec![target("b", 1_000, 2)], ms(4_500));
-    assert!(matches!(&gone[..], [Change::Ended(it)] if it.id.as_ref() == "a"));
+    let removed = registry.take(vec![target("b", 1_000, 2)], ms(4_500));
+    assert!(matches!(&removed[..], [Change::Ended(it)] if it.id.as_ref() == "a"));
 }
 
-/// What was heard of a drain stays: the entry was spoilt, and then written as it once was.
+/// A drain that was announced stays in effect: the entry was overwritten with unreadable data, and
+/// then written again in its earlier state.
 #[test]
-fn a_target_that_left_stays_so_though_its_entry_was_unreadable_meanwhile() {
+fn a_leaving_target_stays_leaving_although_its_entry_was_unreadable() {
     let mut registry = Registry::new();
     registry.take(vec![leaving(target("a", 1_000, 1))], ms(0));
     registry.take(unreadable(Vec::new(), "a"), ms(900));
