--- a/crates/dispatch/tests/restored.rs
+++ b/crates/dispatch/tests/restore.rs
@@ -1,7 +1,7 @@
-//! A store that comes back from a copy some seconds old, and what routers then hold to.
+//! A store restored from a backup some seconds old, and the state that routers keep in spite of it.
 //!
-//! Fleets of 3, 64 and 300 routers under virtual time: a few read the store, all tell three others
-//! drawn at random in each step of 100 ms what they know.
+//! Fleets of 3, 64 and 300 routers run in virtual time: a few read the store, and every router
+//! sends its state to three routers drawn at random in each step of 100 ms.
 
 use std::time::Duration;
 
@@ -16,16 +16,16 @@
 
 const SIZES: [usize; 3] = [3, 64, 300];
 
-/// Routers that read the store, as two of each of three failure domains do.
+/// Number of routers that read the store: two in each of three failure domains.
 const READERS: usize = 6;
 
-/// Time between two greetings.
+/// Interval between two rounds of gossip.
 const STEP: Duration = Duration::from_millis(100);
 
-/// Routers that each router tells in one step.
-const TOLD: usize = 3;
+/// Number of routers to which each router sends its state in one step.
+const FANOUT: usize = 3;
 
-/// A store that keeps orders for failure domains.
+/// A store of evacuation orders.
 #[derive(Clone, Default)]
 struct Store {
     era: u64,
@@ -37,9 +37,9 @@
         self.log.push((domain, evacuated));
     }
 
-    /// Comes back with the state of `copy`.
-    fn restore(&mut self, copy: &Self) {
-        self.log.clone_from(&copy.log);
+    /// Restores the state of `backup`.
+    fn restore(&mut self, backup: &Self) {
+        self.log.clone_from(&backup.log);
         self.era += 1;
     }
 
@@ -73,8 +73,8 @@
 struct Router {
     era: Era,
     evacuations: Evacuations,
-    /// Where it reads on.
-    next: Option<Position>,
+    /// Position from which the next read continues.
+    next_read: Option<Position>,
     changes: Vec<Change>,
 }
 
@@ -82,7 +82,7 @@
     fn read(&mut self, store: &Store, now: Duration) {
         assert_ne!(self.era.see(store.era, now), Sight::Stale);
         let end = store.position(store.log.len());
-        let follows = self.next.filter(|it| it.era == store.era);
+        let follows = self.next_read.filter(|it| it.era == store.era);
         let changes = match follows {
             Some(from) if !self.evacuations.overdue(&self.era, now) => {
                 let from = usize::try_from(from.offset).unwrap();
@@ -94,10 +94,10 @@
                 .take_list(store.list(), end, &self.era, now),
         };
         self.changes.extend(changes);
-        self.next = Some(end);
+        self.next_read = Some(end);
     }
 
-    fn hear(&mut self, other: &Self, now: Duration) {
+    fn merge(&mut self, other: &Self, now: Duration) {
         if let Some(era) = other.era.newest() {
             self.era.see(era, now);
         }
@@ -117,7 +117,7 @@
 struct Fleet {
     routers: Vec<Router>,
     now: Duration,
-    random: Pcg64Mcg,
+    rng: Pcg64Mcg,
 }
 
 impl Fleet {
@@ -125,12 +125,12 @@
         Self {
             routers: vec![Router::default(); size],
             now: Duration::ZERO,
-            random: Pcg64Mcg::seed_from_u64(7),
+            rng: Pcg64Mcg::seed_from_u64(7),
         }
     }
 
-    /// Passes time; `store` answers the readers unless it is away, and `reaches` says which router
-    /// reaches which.
+    /// Advances the time by `time`; `store` is `None` while the store is unavailable, and `reaches`
+    /// tells whether the first router can reach the second.
     fn run(
         &mut self,
         time: Duration,
@@ -147,10 +147,10 @@
             }
             let before = self.routers.clone();
             for (from, sender) in before.iter().enumerate() {
-                for _ in 0..TOLD {
-                    let to = self.random.random_range(0..before.len());
+                for _ in 0..FANOUT {
+                    let to = self.rng.random_range(0..before.len());
                     if reaches(from, to) {
-                        self.routers[to].hear(sender, self.now);
+                        self.routers[to].merge(sender, self.now);
                     }
                 }
             }
@@ -165,36 +165,36 @@
     }
 }
 
-fn all(_: usize, _: usize) -> bool {
+fn all_reachable(_: usize, _: usize) -> bool {
     true
 }
 
-/// All routers know of it: the bound for evacuations is 5 s.
-const KNOWN: Duration = Duration::from_millis(2_500);
+/// Time after which all routers must know an order: half of the bound of 5 s for evacuations.
+const CONVERGENCE_TIME: Duration = Duration::from_millis(2_500);
 
 #[test]
-fn an_evacuation_in_force_never_goes_back_though_the_copy_lacks_it() {
+fn an_evacuation_stays_in_force_although_the_backup_lacks_it() {
     for size in SIZES {
         let mut fleet = Fleet::new(size);
         let mut store = Store::default();
-        fleet.run(KNOWN, Some(&store), all);
-        let copy = store.clone();
+        fleet.run(CONVERGENCE_TIME, Some(&store), all_reachable);
+        let backup = store.clone();
         store.write("hall-c", true);
-        fleet.run(KNOWN, Some(&store), all);
+        fleet.run(CONVERGENCE_TIME, Some(&store), all_reachable);
         assert_eq!(fleet.evacuated("hall-c"), size);
-        fleet.run(Duration::from_secs(1), None, all);
-        store.restore(&copy);
+        fleet.run(Duration::from_secs(1), None, all_reachable);
+        store.restore(&backup);
         for _ in 0..20 {
-            fleet.run(STEP, Some(&store), all);
+            fleet.run(STEP, Some(&store), all_reachable);
             assert_eq!(fleet.evacuated("hall-c"), size, "{size} routers");
         }
-        // Written again 5 s later, and taken back after that.
-        fleet.run(Duration::from_secs(3), Some(&store), all);
+        // The order is written again 5 s after the restore, and revoked later.
+        fleet.run(Duration::from_secs(3), Some(&store), all_reachable);
         store.write("hall-c", true);
-        fleet.run(RESTORE_TIME + KNOWN, Some(&store), all);
+        fleet.run(RESTORE_TIME + CONVERGENCE_TIME, Some(&store), all_reachable);
         assert_eq!(fleet.evacuated("hall-c"), size, "{size} routers");
         store.write("hall-c", false);
-        fleet.run(KNOWN, Some(&store), all);
+        fleet.run(CONVERGENCE_TIME, Some(&store), all_reachable);
         assert_eq!(fleet.evacuated("hall-c"), 0, "{size} routers");
         let reopened = Change::Reopened("hall-c".into());
         for router in &fleet.routers {
@@ -205,92 +205,96 @@
 }
 
 #[test]
-fn what_is_never_written_again_ends_after_a_while() {
+fn an_order_that_is_never_written_again_ends_after_the_restore_window() {
     for size in SIZES {
         let mut fleet = Fleet::new(size);
         let mut store = Store::default();
-        let copy = store.clone();
+        let backup = store.clone();
         store.write("hall-c", true);
-        fleet.run(KNOWN, Some(&store), all);
-        store.restore(&copy);
-        fleet.run(RESTORE_TIME.saturating_sub(STEP), Some(&store), all);
+        fleet.run(CONVERGENCE_TIME, Some(&store), all_reachable);
+        store.restore(&backup);
+        fleet.run(
+            RESTORE_TIME.saturating_sub(STEP),
+            Some(&store),
+            all_reachable,
+        );
         assert_eq!(fleet.evacuated("hall-c"), size, "{size} routers");
-        fleet.run(KNOWN, Some(&store), all);
+        fleet.run(CONVERGENCE_TIME, Some(&store), all_reachable);
         assert_eq!(fleet.evacuated("hall-c"), 0, "{size} routers");
     }
 }
 
 #[test]
-fn a_router_that_starts_in_the_gap_learns_it_from_its_peers() {
+fn a_router_that_starts_after_the_restore_learns_the_order_from_its_peers() {
     for size in SIZES {
         let mut fleet = Fleet::new(size);
         let mut store = Store::default();
-        let copy = store.clone();
+        let backup = store.clone();
         store.write("hall-c", true);
-        fleet.run(KNOWN, Some(&store), all);
-        store.restore(&copy);
-        // A reader and another one restart empty.
+        fleet.run(CONVERGENCE_TIME, Some(&store), all_reachable);
+        store.restore(&backup);
+        // A reader and another router restart without state.
         fleet.routers[0] = Router::default();
         fleet.routers[size - 1] = Router::default();
-        fleet.run(KNOWN, Some(&store), all);
+        fleet.run(CONVERGENCE_TIME, Some(&store), all_reachable);
         assert_eq!(fleet.evacuated("hall-c"), size, "{size} routers");
     }
 }
 
-/// The next record after a list lies where that list ended.
+/// The next record after a list lies at the position at which that list ended.
 #[test]
-fn what_a_list_ended_can_be_evacuated_again_with_the_next_record() {
+fn a_domain_that_a_list_reopened_can_be_evacuated_by_the_next_record() {
     for size in SIZES {
         let mut fleet = Fleet::new(size);
         let mut store = Store::default();
         store.write("hall-a", true);
-        fleet.run(KNOWN, Some(&store), all);
-        // The order is taken back while the store is away, and the history is lost with it.
+        fleet.run(CONVERGENCE_TIME, Some(&store), all_reachable);
+        // The order is revoked while the store is unavailable, and its history is lost.
         store.write("hall-a", false);
         for router in &mut fleet.routers {
-            router.next = None;
+            router.next_read = None;
         }
-        fleet.run(KNOWN, Some(&store), all);
+        fleet.run(CONVERGENCE_TIME, Some(&store), all_reachable);
         assert_eq!(fleet.evacuated("hall-a"), 0, "{size} routers");
         store.write("hall-a", true);
-        fleet.run(KNOWN, Some(&store), all);
+        fleet.run(CONVERGENCE_TIME, Some(&store), all_reachable);
         assert_eq!(fleet.evacuated("hall-a"), size, "{size} routers");
     }
 }
 
 #[test]
-fn two_evacuations_a_cut_and_an_outage_around_the_moment() {
+fn evacuations_survive_a_partition_during_an_outage_and_a_restore() {
     for size in SIZES {
         let mut fleet = Fleet::new(size);
         let mut store = Store::default();
         store.write("hall-b", true);
-        fleet.run(KNOWN, Some(&store), all);
-        let copy = store.clone();
+        fleet.run(CONVERGENCE_TIME, Some(&store), all_reachable);
+        let backup = store.clone();
         store.write("hall-c", true);
-        fleet.run(KNOWN, Some(&store), all);
-        // A third is cut off from the others, all of it without a reader, while the store is away
-        // and comes back.
-        let cut = |from: usize, to: usize| (from < size * 2 / 3) == (to < size * 2 / 3);
-        fleet.run(Duration::from_secs(2), None, cut);
-        store.restore(&copy);
-        fleet.run(Duration::from_secs(2), Some(&store), cut);
+        fleet.run(CONVERGENCE_TIME, Some(&store), all_reachable);
+        // A third of the routers is partitioned from the others, in the larger fleets without any
+        // reader, while the store is unavailable and is then restored.
+        let connected = |from: usize, to: usize| (from < size * 2 / 3) == (to < size * 2 / 3);
+        fleet.run(Duration::from_secs(2), None, connected);
+        store.restore(&backup);
+        fleet.run(Duration::from_secs(2), Some(&store), connected);
         assert_eq!(fleet.evacuated("hall-b"), size, "{size} routers");
         assert_eq!(fleet.evacuated("hall-c"), size, "{size} routers");
         store.write("hall-c", true);
         store.write("hall-b", false);
-        fleet.run(KNOWN, Some(&store), all);
+        fleet.run(CONVERGENCE_TIME, Some(&store), all_reachable);
         assert_eq!(fleet.evacuated("hall-b"), 0, "{size} routers");
         assert_eq!(fleet.evacuated("hall-c"), size, "{size} routers");
     }
 }
 
 #[test]
-fn an_answer_of_an_earlier_era_is_known_as_such() {
+fn an_answer_of_an_earlier_era_is_stale() {
     let mut era = Era::default();
     assert_eq!(era.see(3, Duration::ZERO), Sight::Current);
     assert!(
         !era.restoring(Duration::ZERO),
-        "the first one seen says nothing"
+        "the first era observed does not indicate a restore"
     );
     assert_eq!(era.see(4, Duration::from_secs(1)), Sight::Restored);
     assert_eq!(era.see(3, Duration::from_secs(2)), Sight::Stale);
@@ -317,28 +321,30 @@
 }
 
 #[test]
-fn targets_that_the_copy_lacks_are_not_gone_and_those_back_in_it_not_alive() {
+fn targets_missing_from_the_backup_are_retained_and_ended_ones_in_it_ignored() {
     let second = Duration::from_secs(1);
     let mut registry = Registry::new();
     let (old, new) = (target("old", 1), target("new", 2));
     registry.take(vec![old.clone()], second);
-    // The old one ends, the new one comes; then the copy of before.
+    // The old target ends and the new one is added; then the store is restored from an earlier
+    // backup.
     registry.take(vec![new.clone()], 2 * second);
     registry.restored(3 * second);
     let changes = registry.take(vec![old.clone()], 3 * second);
     assert!(changes.is_empty(), "{changes:?}");
     assert!(known(&registry, "new") && !known(&registry, "old"));
-    // The new one writes its entry again; that of the old one has not lapsed yet.
+    // The new target writes its entry again; the entry of the old one has not expired yet.
     let changes = registry.take(vec![old.clone(), new.clone()], 4 * second);
     assert!(changes.is_empty(), "{changes:?}");
-    // One that is listed for longer than a dead one's entry lives is alive.
+    // A target that stays listed for longer than the entry of an ended target takes to expire is
+    // alive.
     registry.take(vec![old, new], 3 * second + LAPSE);
     assert!(known(&registry, "old"));
 }
 
-/// The list that shows that the store came back was asked for before that was known.
+/// The list that reveals the restore was requested before the restore was known.
 #[test]
-fn the_first_list_of_the_copy_brings_nothing_back_either() {
+fn the_first_list_of_the_backup_does_not_resurrect_targets_either() {
     let second = Duration::from_secs(1);
     let mut registry = Registry::new();
     registry.take(vec![target("old", 1), target("new", 2)], second);
@@ -351,7 +357,7 @@
 }
 
 #[test]
-fn a_target_that_is_not_written_again_within_the_time_of_return_has_ended() {
+fn a_target_that_is_not_written_again_within_the_return_time_has_ended() {
     let second = Duration::from_secs(1);
     let mut registry = Registry::new();
     registry.take(vec![target("a", 1), target("b", 2)], second);
@@ -364,7 +370,7 @@
 }
 
 #[test]
-fn a_peer_that_read_before_the_store_came_back_does_not_end_what_the_copy_lacks() {
+fn a_peer_list_from_before_the_restore_does_not_end_targets_missing_from_the_backup() {
     let second = Duration::from_secs(1);
     let mut registry = Registry::new();
     registry.take(vec![target("a", 1), target("b", 2)], second);
@@ -375,7 +381,7 @@
 }
 
 #[test]
-fn a_target_that_leaves_stays_so_though_the_copy_says_that_it_is_ready() {
+fn a_leaving_target_stays_leaving_although_the_backup_lists_it_as_ready() {
     let second = Duration::from_secs(1);
     let mut registry = Registry::new();
     let mut leaving = target("a", 1);
@@ -401,16 +407,20 @@
 }
 
 #[test]
-fn a_quarantine_that_the_copy_lacks_is_written_again_and_one_that_was_ended_is_dropped() {
+fn a_quarantine_missing_from_the_backup_is_written_again_and_a_lifted_one_in_it_dropped() {
     let now = Duration::from_secs(1);
     let content = Digest(5);
     let mut ledger = quarantined(content);
     let stored: Vec<Entry> = ledger.entries(now).collect();
-    assert!(ledger.unkept(&stored, now).is_empty(), "all is kept");
-    assert_eq!(ledger.unkept(&[], now), stored, "the copy lacks it");
+    assert!(ledger.unkept(&stored, now).is_empty(), "all is stored");
+    assert_eq!(ledger.unkept(&[], now), stored, "the backup lacks it");
     ledger.answered(content.tag(), now);
     let dropped = ledger.unkept(&stored, now);
-    assert_eq!(dropped.len(), 1, "the copy keeps what was ended");
+    assert_eq!(
+        dropped.len(),
+        1,
+        "the backup still has the lifted quarantine"
+    );
     assert!(dropped[0].ends.is_empty());
     assert!(
         ledger.unkept(&[], now).is_empty(),
