--- a/crates/dispatch/tests/leaving.rs
+++ b/crates/dispatch/tests/leaving.rs
@@ -1,4 +1,5 @@
-//! Targets that say themselves that they leave: what lists, peers and new starts change in that.
+//! Targets that announce that they are leaving: the effect of lists, peers and new incarnations on
+//! that state.
 
 use std::time::Duration;
 
@@ -32,7 +33,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn a_list_that_still_says_ready_changes_nothing() {
+fn a_list_that_still_says_ready_has_no_effect() {
     let mut registry = Registry::new();
     registry.take(list(), SECOND);
     let (new, change) = registry.says_leaving(target(1, 1).tag(), SECOND);
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn an_entry_that_lapsed_and_comes_back_or_comes_with_a_copy_leaves_still() {
+fn a_leaving_target_stays_leaving_when_its_entry_reappears_or_is_restored() {
     let mut registry = Registry::new();
     registry.take(list(), SECOND);
     registry.says_leaving(target(1, 1).tag(), SECOND);
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn a_word_that_comes_before_the_first_list_holds() {
+fn an_announcement_before_the_first_list_takes_effect() {
     let mut registry = Registry::new();
     let tag = target(1, 1).tag();
     let age = Duration::ZERO;
@@ -72,42 +73,43 @@
 }
 
 #[test]
-fn a_new_start_under_the_identity_is_another_target() {
+fn a_new_incarnation_under_the_same_identity_is_another_target() {
     let mut registry = Registry::new();
     registry.take(list(), SECOND);
     registry.says_leaving(target(1, 1).tag(), SECOND);
     registry.take(vec![target(1, 2), target(2, 1)], SECOND * 2);
     assert_eq!(state(&registry, &target(1, 2)), Some(State::Ready));
-    // Late word of the earlier start.
+    // A late announcement of the earlier incarnation.
     registry.says_leaving(target(1, 1).tag(), SECOND * 3);
     assert_eq!(state(&registry, &target(1, 2)), Some(State::Ready));
 }
 
-/// Routers that hear words in drawn sequences, tell each other in drawn sequences, and start anew.
+/// Routers that receive and exchange announcements in random order converge to the same set, and
+/// drop it after the retention period.
 #[test]
-fn routers_that_tell_each_other_come_to_the_same() {
+fn routers_that_exchange_announcements_converge() {
     for seed in 0..200 {
-        let mut draw = StdRng::seed_from_u64(seed);
+        let mut rng = StdRng::seed_from_u64(seed);
         let mut routers = vec![Leaving::default(); 5];
         let mut all = Vec::new();
         let mut now = SECOND;
         for _ in 0..60 {
-            now += Duration::from_millis(draw.random_range(0..500));
-            let router = draw.random_range(0..routers.len());
-            if draw.random_bool(0.3) {
-                let tag = Tag(draw.random_range(0..20));
+            now += Duration::from_millis(rng.random_range(0..500));
+            let router = rng.random_range(0..routers.len());
+            if rng.random_bool(0.3) {
+                let tag = Tag(rng.random_range(0..20));
                 routers[router].note(tag, now);
                 all.push(tag);
             } else {
-                let words = routers[draw.random_range(0..5)].words(now);
-                routers[router].hear(&words, now);
+                let notices = routers[rng.random_range(0..5)].words(now);
+                routers[router].hear(&notices, now);
             }
         }
         for _ in 0..2 {
             for one in 0..5 {
                 for other in 0..5 {
-                    let words = routers[other].words(now);
-                    routers[one].hear(&words, now);
+                    let notices = routers[other].words(now);
+                    routers[one].hear(&notices, now);
                 }
             }
         }
@@ -115,16 +117,16 @@
             assert_eq!(router.digest(), routers[0].digest(), "seed {seed}");
             assert!(all.iter().all(|it| router.contains(*it)), "seed {seed}");
         }
-        let nobody_says_it_again = now + KEPT;
+        let after_retention = now + KEPT;
         for router in &mut routers {
-            router.prune(nobody_says_it_again);
+            router.prune(after_retention);
             assert_eq!(router.digest(), 0);
         }
     }
 }
 
 #[test]
-fn an_old_word_of_a_peer_does_not_begin_anew() {
+fn an_old_announcement_of_a_peer_does_not_restart_its_retention() {
     let mut leaving = Leaving::default();
     let tag = Tag(7);
     assert!(leaving.hear(&[Word { tag, age: KEPT }], SECOND).is_empty());
