--- a/crates/dispatch/src/registry.rs
+++ b/crates/dispatch/src/registry.rs
@@ -3,7 +3,7 @@
 //! The platform's list is read in full once; after that only the log records written since are read
 //! ([`Delta`]). A target that is missing from the list has ended, with one exception: entries
 //! expire during a store outage and reappear shortly after it, so after an outage a missing target
-//! is retained for [`RETURN_TIME`]. An outage is a gap between lists, whichever router read them:
+//! is retained for [`REAPPEARANCE_GRACE`]. An outage is a gap between lists, whichever router read them:
 //! as long as a peer can read, entries do not expire because of the store. A retained target is a
 //! local assumption of this router: it is not sent to peers, and a list from a peer that observed
 //! no outage ends it.
@@ -42,7 +42,7 @@
 
 /// How long an expired entry may take to reappear after an outage of the store; operators expect
 /// about two seconds.
-pub const RETURN_TIME: Duration = Duration::from_secs(2);
+pub const REAPPEARANCE_GRACE: Duration = Duration::from_secs(2);
 
 /// Minimum gap between two lists that counts as an outage. Lists are read every 0.6 to 1.2 s;
 /// entries expire after three heartbeats of about that length.
@@ -161,11 +161,11 @@
         }
         let gap = self.read_at.map(|at| as_of.saturating_sub(at));
         if gap.is_some_and(|it| it > OUTAGE) {
-            self.retain_until = as_of + RETURN_TIME;
+            self.retain_until = as_of + REAPPEARANCE_GRACE;
         }
         if gap.is_none_or(|it| it > OUTAGE) {
             // A router that has just started cannot know whether an outage preceded it.
-            self.settled_from = as_of + RETURN_TIME;
+            self.settled_from = as_of + REAPPEARANCE_GRACE;
         }
         self.apply_full(list.into(), as_of)
     }
--- a/crates/dispatch/src/registry/restore.rs
+++ b/crates/dispatch/src/registry/restore.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::{RETURN_TIME, Registry};
+use super::{REAPPEARANCE_GRACE, Registry};
 use crate::store::RESTORE_TIME;
 use crate::target::{Tag, Target};
 
@@ -50,7 +50,8 @@
     /// Whether a list as of `as_of`, from a peer that observed no outage, shows which targets have
     /// ended. A list from before the restore says nothing about what the backup lacks.
     pub(super) fn confirms_absence(&self, as_of: Duration) -> bool {
-        self.restored_at.is_none_or(|at| as_of > at + RETURN_TIME)
+        self.restored_at
+            .is_none_or(|at| as_of > at + REAPPEARANCE_GRACE)
     }
 }
 
@@ -60,8 +61,8 @@
     /// alive.
     pub fn restored(&mut self, now: Duration) {
         self.restore.record_restore(now);
-        self.retain_until = now + RETURN_TIME;
-        self.settled_from = now + RETURN_TIME;
+        self.retain_until = now + REAPPEARANCE_GRACE;
+        self.settled_from = now + REAPPEARANCE_GRACE;
     }
 
     /// Whether a target is listed only because a restored backup still contains it.
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -11,7 +11,7 @@
 use dunlinward_dispatch::placement::{self, Ask, Candidate, Policy};
 use dunlinward_dispatch::prefix::{self, Memory, Part, Prefix, Prompt, Use};
 use dunlinward_dispatch::reach::Reach;
-use dunlinward_dispatch::registry::{Change, OUTAGE, RETURN_TIME, Registry};
+use dunlinward_dispatch::registry::{Change, OUTAGE, REAPPEARANCE_GRACE, Registry};
 use dunlinward_dispatch::report::CustomerTag;
 use dunlinward_dispatch::share::{self, Shares};
 use dunlinward_dispatch::target::{State, Tag, Target};
@@ -135,7 +135,7 @@
     let back = OUTAGE + ms(1);
     registry.take(vec![target("a", 1)], back);
     assert_eq!(registry.of("pool").len(), 2);
-    registry.take(vec![target("a", 1)], back + RETURN_TIME);
+    registry.take(vec![target("a", 1)], back + REAPPEARANCE_GRACE);
     assert_eq!(registry.of("pool").len(), 1);
 }
 
@@ -168,7 +168,7 @@
     assert!(!registry.settled());
     registry.take(vec![target("a", 1)], ms(500));
     assert!(!registry.settled());
-    registry.take(vec![target("a", 1)], ms(500) + RETURN_TIME);
+    registry.take(vec![target("a", 1)], ms(500) + REAPPEARANCE_GRACE);
     assert!(registry.settled());
 }
 
