--- a/crates/dispatch/src/registry.rs
+++ b/crates/dispatch/src/registry.rs
@@ -46,7 +46,7 @@
 
 /// Minimum gap between two lists that counts as an outage. Lists are read every 0.6 to 1.2 s;
 /// entries expire after three heartbeats of about that length.
-pub const OUTAGE: Duration = Duration::from_secs(2);
+pub const OUTAGE_GAP: Duration = Duration::from_secs(2);
 
 /// How long a target that was replaced by another one stays excluded, whatever its entry says:
 /// longer than messages about it can be in flight.
@@ -160,10 +160,10 @@
             return Vec::new();
         }
         let gap = self.read_at.map(|at| as_of.saturating_sub(at));
-        if gap.is_some_and(|it| it > OUTAGE) {
+        if gap.is_some_and(|it| it > OUTAGE_GAP) {
             self.retain_until = as_of + REAPPEARANCE_GRACE;
         }
-        if gap.is_none_or(|it| it > OUTAGE) {
+        if gap.is_none_or(|it| it > OUTAGE_GAP) {
             // A router that has just started cannot know whether an outage preceded it.
             self.settled_from = as_of + REAPPEARANCE_GRACE;
         }
--- a/crates/dispatch/src/registry/delta.rs
+++ b/crates/dispatch/src/registry/delta.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{Change, Listing, OUTAGE, Registry};
+use super::{Change, Listing, OUTAGE_GAP, Registry};
 use crate::target::{State, Target};
 
 /// Log records since a list; only the newest entry of each server.
@@ -28,7 +28,7 @@
         let Some(read_at) = self.read_at.filter(|at| as_of >= *at) else {
             return Vec::new();
         };
-        let outage = as_of.saturating_sub(read_at) > OUTAGE;
+        let outage = as_of.saturating_sub(read_at) > OUTAGE_GAP;
         if outage || as_of < self.retain_until || !self.is_incremental(&delta, as_of) {
             let listing = self.merged_listing(delta);
             return self.take(listing, as_of);
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -11,7 +11,7 @@
 use dunlinward_dispatch::placement::{self, Ask, Candidate, Policy};
 use dunlinward_dispatch::prefix::{self, Memory, Part, Prefix, Prompt, Use};
 use dunlinward_dispatch::reach::Reach;
-use dunlinward_dispatch::registry::{Change, OUTAGE, REAPPEARANCE_GRACE, Registry};
+use dunlinward_dispatch::registry::{Change, OUTAGE_GAP, REAPPEARANCE_GRACE, Registry};
 use dunlinward_dispatch::report::CustomerTag;
 use dunlinward_dispatch::share::{self, Shares};
 use dunlinward_dispatch::target::{State, Tag, Target};
@@ -132,7 +132,7 @@
 fn after_an_outage_a_lapsed_target_is_kept_until_it_could_be_back() {
     let mut registry = Registry::new();
     registry.take(vec![target("a", 1), target("b", 2)], ms(0));
-    let back = OUTAGE + ms(1);
+    let back = OUTAGE_GAP + ms(1);
     registry.take(vec![target("a", 1)], back);
     assert_eq!(registry.of("pool").len(), 2);
     registry.take(vec![target("a", 1)], back + REAPPEARANCE_GRACE);
@@ -149,7 +149,7 @@
     }
     other.take(vec![target("a", 1)], ms(1500));
     other.take(vec![target("a", 1)], ms(3000));
-    let back = OUTAGE + ms(1500);
+    let back = OUTAGE_GAP + ms(1500);
     cut.take(vec![target("a", 1)], back);
     assert_eq!((cut.of("pool").len(), cut.settled()), (2, false));
     let told: Vec<_> = cut.listed().map(|it| it.as_ref().clone()).collect();
@@ -176,7 +176,7 @@
 fn a_lapsed_target_whose_address_is_taken_has_ended() {
     let mut registry = Registry::new();
     registry.take(vec![target("b", 2)], ms(0));
-    registry.take(vec![target("c", 2)], OUTAGE + ms(1));
+    registry.take(vec![target("c", 2)], OUTAGE_GAP + ms(1));
     let ids: Vec<_> = registry
         .of("pool")
         .iter()
--- a/crates/dispatch/tests/delta.rs
+++ b/crates/dispatch/tests/delta.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dunlinward_dispatch::registry::{Delta, OUTAGE, Registry};
+use dunlinward_dispatch::registry::{Delta, OUTAGE_GAP, Registry};
 use dunlinward_dispatch::target::{State, Target};
 use proptest::prelude::*;
 
@@ -128,11 +128,11 @@
         dropped: vec![target(1, State::Ready).id],
         ..Delta::default()
     };
-    let back = READ_INTERVAL + OUTAGE + Duration::from_millis(1);
+    let back = READ_INTERVAL + OUTAGE_GAP + Duration::from_millis(1);
     assert!(registry.take_delta(dropped, back).is_empty());
     assert_eq!(registry.of("pool").len(), 2);
     // The entry has not reappeared.
-    let changes = registry.take_delta(Delta::default(), back + OUTAGE);
+    let changes = registry.take_delta(Delta::default(), back + OUTAGE_GAP);
     assert_eq!(changes.len(), 1);
     assert_eq!(registry.of("pool").len(), 1);
 }
--- a/crates/dispatch/tests/incarnations.rs
+++ b/crates/dispatch/tests/incarnations.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dunlinward_dispatch::registry::{Change, Listing, OUTAGE, Registry, START_KEPT};
+use dunlinward_dispatch::registry::{Change, Listing, OUTAGE_GAP, Registry, START_KEPT};
 use dunlinward_dispatch::target::{State, Target};
 
 fn ms(milliseconds: u64) -> Duration {
@@ -125,7 +125,7 @@
 fn after_an_outage_an_earlier_incarnation_is_not_retained_beside_the_next() {
     let mut registry = Registry::new();
     registry.take(vec![target("a", 1_000, 1), target("b", 1_000, 2)], ms(0));
-    registry.take(vec![target("a", 2_000, 3)], OUTAGE + ms(1));
+    registry.take(vec![target("a", 2_000, 3)], OUTAGE_GAP + ms(1));
     let incarnations = registry.of("pool").iter();
     let incarnations: Vec<_> = incarnations.map(|it| (it.id.as_ref(), it.born)).collect();
     assert_eq!(incarnations, [("a", Some(2_000)), ("b", Some(1_000))]);
--- a/crates/dispatch/tests/leaving.rs
+++ b/crates/dispatch/tests/leaving.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dunlinward_dispatch::leaving::{KEPT, Leaving, Word};
-use dunlinward_dispatch::registry::{Change, OUTAGE, Registry};
+use dunlinward_dispatch::registry::{Change, OUTAGE_GAP, Registry};
 use dunlinward_dispatch::target::{State, Tag, Target};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -54,7 +54,7 @@
     registry.says_leaving(target(1, 1).tag(), SECOND);
     registry.take(vec![target(2, 1)], SECOND * 2);
     assert_eq!(state(&registry, &target(1, 1)), None);
-    registry.take(list(), SECOND * 2 + OUTAGE * 2);
+    registry.take(list(), SECOND * 2 + OUTAGE_GAP * 2);
     assert_eq!(state(&registry, &target(1, 1)), Some(State::Leaving));
     registry.restored(SECOND * 8);
     registry.take(list(), SECOND * 9);
--- a/crates/dispatch/tests/restore.rs
+++ b/crates/dispatch/tests/restore.rs
@@ -8,7 +8,7 @@
 use dunlinward_dispatch::content::Digest;
 use dunlinward_dispatch::evacuation::{Change, Evacuations, Order};
 use dunlinward_dispatch::quarantine::{Entry, Fate, Finding, Ledger};
-use dunlinward_dispatch::registry::{LAPSE, OUTAGE, REAPPEARANCE_GRACE, Registry};
+use dunlinward_dispatch::registry::{LAPSE, OUTAGE_GAP, REAPPEARANCE_GRACE, Registry};
 use dunlinward_dispatch::store::{Era, Position, RESTORE_TIME, Sight};
 use dunlinward_dispatch::target::{State, Tag, Target};
 use rand::{Rng, SeedableRng};
@@ -362,7 +362,7 @@
     let mut registry = Registry::new();
     registry.take(vec![target("a", 1), target("b", 2)], second);
     registry.restored(2 * second);
-    let step = OUTAGE / 2;
+    let step = OUTAGE_GAP / 2;
     registry.take(vec![target("a", 1)], 2 * second + step);
     assert!(known(&registry, "b"));
     registry.take(vec![target("a", 1)], 2 * second + REAPPEARANCE_GRACE);
