--- a/crates/dispatch/src/registry.rs
+++ b/crates/dispatch/src/registry.rs
@@ -37,7 +37,7 @@
 pub use incarnations::START_KEPT;
 use index::{Index, checksum};
 pub use partition::{Difference, Sums};
-pub use restore::LAPSE;
+pub use restore::ENTRY_EXPIRY;
 use restore::Restore;
 
 /// How long an expired entry may take to reappear after an outage of the store; operators expect
--- a/crates/dispatch/src/registry/restore.rs
+++ b/crates/dispatch/src/registry/restore.rs
@@ -9,7 +9,7 @@
 
 /// Time within which the entry of an ended target expires again in a restored store: three
 /// heartbeats of 1.2 s, plus one read of the list.
-pub const LAPSE: Duration = Duration::from_secs(5);
+pub const ENTRY_EXPIRY: Duration = Duration::from_secs(5);
 
 /// State for judging the lists of a restored store.
 #[derive(Clone, Debug, Default)]
@@ -38,7 +38,7 @@
     /// Whether a list as of `as_of` may contain an ended target only because the backup does.
     pub(super) fn may_resurrect(&self, tag: Tag, as_of: Duration) -> bool {
         // This includes lists requested before the restore was known.
-        let unexpired = |at: Duration| as_of < at + LAPSE;
+        let unexpired = |at: Duration| as_of < at + ENTRY_EXPIRY;
         self.restored_at.is_some_and(unexpired) && self.ended.contains_key(&tag)
     }
 
--- a/crates/dispatch/tests/restore.rs
+++ b/crates/dispatch/tests/restore.rs
@@ -8,7 +8,7 @@
 use dunlinward_dispatch::content::Digest;
 use dunlinward_dispatch::evacuation::{Change, Evacuations, Order};
 use dunlinward_dispatch::quarantine::{Entry, Fate, Finding, Ledger};
-use dunlinward_dispatch::registry::{LAPSE, OUTAGE_GAP, REAPPEARANCE_GRACE, Registry};
+use dunlinward_dispatch::registry::{ENTRY_EXPIRY, OUTAGE_GAP, REAPPEARANCE_GRACE, Registry};
 use dunlinward_dispatch::store::{Era, Position, RESTORE_TIME, Sight};
 use dunlinward_dispatch::target::{State, Tag, Target};
 use rand::{Rng, SeedableRng};
@@ -338,7 +338,7 @@
     assert!(changes.is_empty(), "{changes:?}");
     // A target that stays listed for longer than the entry of an ended target takes to expire is
     // alive.
-    registry.take(vec![old, new], 3 * second + LAPSE);
+    registry.take(vec![old, new], 3 * second + ENTRY_EXPIRY);
     assert!(known(&registry, "old"));
 }
 
