--- a/crates/dispatch/src/registry.rs
+++ b/crates/dispatch/src/registry.rs
@@ -33,8 +33,8 @@
 mod restore;
 
 pub use delta::Delta;
+pub use incarnations::INCARNATION_RETENTION;
 use incarnations::Incarnations;
-pub use incarnations::START_KEPT;
 use index::{Index, checksum};
 pub use partition::{Difference, Sums};
 pub use restore::ENTRY_EXPIRY;
--- a/crates/dispatch/src/registry/incarnations.rs
+++ b/crates/dispatch/src/registry/incarnations.rs
@@ -7,7 +7,7 @@
 /// How long the newest incarnation of a server is remembered after it was last listed: longer than
 /// messages about an earlier one can be in flight, which is some seconds. After that a seemingly
 /// older incarnation is accepted, since the server's clock may have been set back.
-pub const START_KEPT: Duration = Duration::from_mins(1);
+pub const INCARNATION_RETENTION: Duration = Duration::from_mins(1);
 
 #[derive(Clone, Copy, Debug)]
 struct Incarnation {
@@ -39,17 +39,17 @@
         self.by_id.get(id).map(|it| it.born)
     }
 
-    /// Drops incarnations that have not been listed for [`START_KEPT`]; after that, any start time of
+    /// Drops incarnations that have not been listed for [`INCARNATION_RETENTION`]; after that, any start time of
     /// their servers is accepted.
     pub(super) fn prune(&mut self, now: Duration) {
         self.by_id
-            .retain(|_, it| now.saturating_sub(it.listed_at) < START_KEPT);
+            .retain(|_, it| now.saturating_sub(it.listed_at) < INCARNATION_RETENTION);
     }
 
     /// Marks incarnations of servers that are still listed as recently listed. Runs at most once
-    /// per third of [`START_KEPT`].
+    /// per third of [`INCARNATION_RETENTION`].
     pub(super) fn refresh(&mut self, now: Duration, listed: impl Fn(&str) -> bool) {
-        if now.saturating_sub(self.refreshed_at) < START_KEPT / 3 {
+        if now.saturating_sub(self.refreshed_at) < INCARNATION_RETENTION / 3 {
             return;
         }
         self.refreshed_at = now;
--- a/crates/dispatch/tests/incarnations.rs
+++ b/crates/dispatch/tests/incarnations.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dunlinward_dispatch::registry::{Change, Listing, OUTAGE_GAP, Registry, START_KEPT};
+use dunlinward_dispatch::registry::{Change, INCARNATION_RETENTION, Listing, OUTAGE_GAP, Registry};
 use dunlinward_dispatch::target::{State, Target};
 
 fn ms(milliseconds: u64) -> Duration {
@@ -102,7 +102,7 @@
     let changes = registry.take(vec![target("a", 1_000, 1)], ms(1_800));
     assert_eq!(changes, []);
     assert_eq!(usable(&registry), []);
-    assert!(START_KEPT > ms(1_800));
+    assert!(INCARNATION_RETENTION > ms(1_800));
 }
 
 /// A server's clock was set back before it restarted: the server is not excluded forever.
@@ -110,12 +110,12 @@
 fn a_seemingly_older_incarnation_is_accepted_once_the_newer_one_is_forgotten() {
     let mut registry = Registry::new();
     registry.take(vec![target("a", 2_000, 1)], ms(0));
-    let seconds = START_KEPT.as_secs();
+    let seconds = INCARNATION_RETENTION.as_secs();
     for second in 1..seconds {
         registry.take(vec![target("a", 1_000, 1)], Duration::from_secs(second));
         assert_eq!(usable(&registry), only("a", 2_000));
     }
-    registry.take(vec![target("a", 1_000, 1)], START_KEPT);
+    registry.take(vec![target("a", 1_000, 1)], INCARNATION_RETENTION);
     assert_eq!(usable(&registry), only("a", 1_000));
 }
 
