--- a/crates/dispatch/src/registry.rs
+++ b/crates/dispatch/src/registry.rs
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// A target was added, or may get new work again.
-    Came(Arc<Target>),
+    Added(Arc<Target>),
     /// A target is about to end.
     Leaves(Arc<Target>),
     /// A target's entry can no longer be read: the target gets no new work.
@@ -288,8 +288,8 @@
         }
         let target = target.clone();
         Some(match target.state {
-            State::Ready => Change::Came(target),
-            State::Leaving if known.is_none() => Change::Came(target),
+            State::Ready => Change::Added(target),
+            State::Leaving if known.is_none() => Change::Added(target),
             State::Leaving => Change::Leaves(target),
             State::Unreadable => Change::Suspended(target),
         })
--- a/crates/dispatch/tests/incarnations.rs
+++ b/crates/dispatch/tests/incarnations.rs
@@ -59,7 +59,7 @@
         let old = Arc::new(target("a", 1_000, 1));
         let new = Arc::new(target("a", 2_000, port));
         assert!(changes.contains(&Change::Ended(old)));
-        assert!(changes.contains(&Change::Came(new)));
+        assert!(changes.contains(&Change::Added(new)));
         assert_eq!(usable(&registry), only("a", 2_000));
     }
 }
@@ -184,7 +184,7 @@
     assert_eq!(registry.take(overwritten, ms(1_800)), []);
     assert!(registry.get(target("a", 1_000, 1).tag()).is_some());
     let changes = registry.take(both(), ms(2_700));
-    assert!(matches!(&changes[..], [Change::Came(it)] if it.id.as_ref() == "a"));
+    assert!(matches!(&changes[..], [Change::Added(it)] if it.id.as_ref() == "a"));
     assert_eq!(usable(&registry).len(), 2);
     let unknown = unreadable(both(), "c");
     assert_eq!(registry.take(unknown, ms(3_600)), []);
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -120,7 +120,7 @@
     /// The line on a change of the list of targets.
     fn tell_change(&self, change: &Change, source: &str, as_of: Duration) {
         let (event, target) = match change {
-            Change::Came(target) => ("target_came", target),
+            Change::Added(target) => ("target_came", target),
             Change::Leaves(target) => ("target_leaves", target),
             Change::Suspended(target) => ("target_suspended", target),
             Change::Ended(target) => ("target_ended", target),
