--- a/crates/dispatch/src/registry.rs
+++ b/crates/dispatch/src/registry.rs
@@ -58,7 +58,7 @@
     /// A target was added, or may get new work again.
     Added(Arc<Target>),
     /// A target is about to end.
-    Leaves(Arc<Target>),
+    Leaving(Arc<Target>),
     /// A target's entry can no longer be read: the target gets no new work.
     Suspended(Arc<Target>),
     /// A target has ended.
@@ -290,7 +290,7 @@
         Some(match target.state {
             State::Ready => Change::Added(target),
             State::Leaving if known.is_none() => Change::Added(target),
-            State::Leaving => Change::Leaves(target),
+            State::Leaving => Change::Leaving(target),
             State::Unreadable => Change::Suspended(target),
         })
     }
--- a/crates/dispatch/src/registry/leaving.rs
+++ b/crates/dispatch/src/registry/leaving.rs
@@ -37,7 +37,7 @@
             return None;
         }
         Arc::make_mut(known).state = State::Leaving;
-        let change = Change::Leaves(known.clone());
+        let change = Change::Leaving(known.clone());
         self.rebuild_index();
         Some(change)
     }
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -202,7 +202,7 @@
     let mut leaving = target("a", 1);
     leaving.state = State::Leaving;
     let changes = registry.take(vec![leaving.clone()], ms(900));
-    assert_eq!(changes, [Change::Leaves(Arc::new(leaving.clone()))]);
+    assert_eq!(changes, [Change::Leaving(Arc::new(leaving.clone()))]);
     assert!(registry.take(vec![leaving], ms(1800)).is_empty());
 }
 
--- a/crates/dispatch/tests/leaving.rs
+++ b/crates/dispatch/tests/leaving.rs
@@ -38,7 +38,7 @@
     registry.take(list(), SECOND);
     let (new, change) = registry.says_leaving(target(1, 1).tag(), SECOND);
     assert!(new);
-    assert!(matches!(change, Some(Change::Leaves(_))));
+    assert!(matches!(change, Some(Change::Leaving(_))));
     for second in 2..10 {
         registry.take(list(), SECOND * second);
         registry.take_settled(list(), SECOND * second);
--- a/crates/path/src/leaving.rs
+++ b/crates/path/src/leaving.rs
@@ -81,7 +81,7 @@
     let now = node.now();
     for change in changes {
         node.apply_change(change, source, now);
-        if let Change::Leaves(target) = change {
+        if let Change::Leaving(target) = change {
             node.metrics.add("targets_leaving", source, 1);
             node.pool.close(target.tag());
         }
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -121,7 +121,7 @@
     fn tell_change(&self, change: &Change, source: &str, as_of: Duration) {
         let (event, target) = match change {
             Change::Added(target) => ("target_came", target),
-            Change::Leaves(target) => ("target_leaves", target),
+            Change::Leaving(target) => ("target_leaves", target),
             Change::Suspended(target) => ("target_suspended", target),
             Change::Ended(target) => ("target_ended", target),
         };
