--- a/crates/dispatch/src/registry.rs
+++ b/crates/dispatch/src/registry.rs
@@ -36,7 +36,7 @@
 pub use incarnations::INCARNATION_RETENTION;
 use incarnations::Incarnations;
 use index::{Index, checksum};
-pub use partition::{Difference, Sums};
+pub use partition::{Checksums, Difference};
 pub use restore::ENTRY_EXPIRY;
 use restore::Restore;
 
@@ -108,7 +108,7 @@
     /// Targets that have announced that they are leaving.
     leaving: Leaving,
     digest: u64,
-    checksums: Sums,
+    checksums: Checksums,
 }
 
 impl Default for Registry {
@@ -136,7 +136,7 @@
             incarnations: Incarnations::default(),
             leaving: Leaving::default(),
             digest: 0,
-            checksums: Sums::empty(),
+            checksums: Checksums::empty(),
         }
     }
 
@@ -362,7 +362,7 @@
         self.index = Index::new(self.targets.values(), self.cell_targets, &self.regions);
         let by_id = self.targets.iter();
         self.by_id = by_id.map(|(tag, it)| (it.id.clone(), *tag)).collect();
-        let mut checksums = Sums::empty();
+        let mut checksums = Checksums::empty();
         let mut digest = 0;
         for target in self.listed() {
             digest ^= checksum(target);
--- a/crates/dispatch/src/registry/partition.rs
+++ b/crates/dispatch/src/registry/partition.rs
@@ -20,9 +20,9 @@
 
 /// Checksums of the parts of a list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sums(Vec<u32>);
+pub struct Checksums(Vec<u32>);
 
-impl Sums {
+impl Checksums {
     /// Checksums of an empty list, with the maximum index of parts.
     pub(super) fn empty() -> Self {
         Self(vec![0; MAX_PARTS])
@@ -72,9 +72,9 @@
 impl Registry {
     /// Checksums of the parts of the list.
     #[must_use]
-    pub fn sums(&self) -> Sums {
+    pub fn sums(&self) -> Checksums {
         let count = self.targets.len() / TARGETS_PER_PART;
-        Sums(
+        Checksums(
             self.checksums
                 .folded(count.next_power_of_two().min(MAX_PARTS)),
         )
@@ -82,7 +82,7 @@
 
     /// The parts of the list that differ from one with these checksums.
     #[must_use]
-    pub fn differing(&self, checksums: &Sums) -> Difference {
+    pub fn differing(&self, checksums: &Checksums) -> Difference {
         let count = checksums.0.len().clamp(1, MAX_PARTS).next_power_of_two();
         let own = self.checksums.folded(count);
         let theirs = checksums.0.iter().copied().chain(std::iter::repeat(0));
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -14,7 +14,7 @@
 use dunlinward_dispatch::evacuation::Order;
 use dunlinward_dispatch::quarantine::Entry;
 use dunlinward_dispatch::reading::Reading;
-use dunlinward_dispatch::registry::{Difference, Sums};
+use dunlinward_dispatch::registry::{Checksums, Difference};
 use dunlinward_dispatch::store::Position;
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -64,7 +64,7 @@
 struct Question {
     wanted: Wanted,
     /// The list of targets that it has, if it asks for another.
-    targets: Sums,
+    targets: Checksums,
 }
 
 impl Question {
@@ -72,7 +72,7 @@
         let targets = if wanted.has(Part::Targets) {
             node.state.borrow().registry.sums()
         } else {
-            Sums::default()
+            Checksums::default()
         };
         Self { wanted, targets }
     }
