--- a/crates/dispatch/src/registry/partition.rs
+++ b/crates/dispatch/src/registry/partition.rs
@@ -72,7 +72,7 @@
 impl Registry {
     /// Checksums of the parts of the list.
     #[must_use]
-    pub fn sums(&self) -> Checksums {
+    pub fn checksums(&self) -> Checksums {
         let count = self.targets.len() / TARGETS_PER_PART;
         Checksums(
             self.checksums
--- a/crates/dispatch/tests/delta.rs
+++ b/crates/dispatch/tests/delta.rs
@@ -37,7 +37,7 @@
         .map(|(cell, it)| (cell, ids(it)))
         .collect();
     cells.sort();
-    (ids(registry.of("pool")), cells, registry.sums())
+    (ids(registry.of("pool")), cells, registry.checksums())
 }
 
 fn ready_targets(count: u16) -> Vec<Target> {
@@ -98,7 +98,7 @@
             prop_assert_eq!(log_reader.digest(), full_reader.digest());
             prop_assert_eq!(log_reader.read_at(), Some(as_of));
             prop_assert_eq!(indexed(&log_reader), indexed(&full_reader));
-            let difference = log_reader.differing(&peer.sums());
+            let difference = log_reader.differing(&peer.checksums());
             let delta = peer.delta_of(difference).expect("the list has not changed since");
             peer.take_told(delta, round % 2 == 0, as_of);
             prop_assert_eq!(listed(&peer), listed(&log_reader));
@@ -142,7 +142,7 @@
     let (mut one, mut other) = (Registry::new(), Registry::new());
     one.take(ready_targets(200), READ_INTERVAL);
     other.take(ready_targets(150), READ_INTERVAL);
-    let difference = one.differing(&other.sums());
+    let difference = one.differing(&other.checksums());
     other.take(ready_targets(100), 2 * READ_INTERVAL);
     assert!(other.delta_of(difference).is_none());
 }
@@ -155,8 +155,8 @@
     list[0].state = State::Leaving;
     new.take(list, READ_INTERVAL);
     let config = bincode::config::standard();
-    let request = bincode::serde::encode_to_vec(old.sums(), config).unwrap();
-    let answer = new.differing(&old.sums());
+    let request = bincode::serde::encode_to_vec(old.checksums(), config).unwrap();
+    let answer = new.differing(&old.checksums());
     let answer = bincode::serde::encode_to_vec(&answer, config).unwrap();
     request.len() + answer.len()
 }
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -70,7 +70,7 @@
 impl Question {
     fn new(node: &Node, wanted: Wanted) -> Self {
         let targets = if wanted.has(Part::Targets) {
-            node.state.borrow().registry.sums()
+            node.state.borrow().registry.checksums()
         } else {
             Checksums::default()
         };
