--- a/crates/dispatch/src/registry.rs
+++ b/crates/dispatch/src/registry.rs
@@ -155,7 +155,7 @@
     }
 
     /// Applies a full list as of `as_of`; a list older than the known one is ignored.
-    pub fn take(&mut self, list: impl Into<Listing>, as_of: Duration) -> Vec<Change> {
+    pub fn apply_list(&mut self, list: impl Into<Listing>, as_of: Duration) -> Vec<Change> {
         if self.read_at.is_some_and(|at| as_of < at) {
             return Vec::new();
         }
--- a/crates/dispatch/src/registry/delta.rs
+++ b/crates/dispatch/src/registry/delta.rs
@@ -31,7 +31,7 @@
         let outage = as_of.saturating_sub(read_at) > OUTAGE_GAP;
         if outage || as_of < self.retain_until || !self.is_incremental(&delta, as_of) {
             let listing = self.merged_listing(delta);
-            return self.take(listing, as_of);
+            return self.apply_list(listing, as_of);
         }
         self.apply_incremental(delta, as_of)
     }
--- a/crates/dispatch/tests/cells.rs
+++ b/crates/dispatch/tests/cells.rs
@@ -34,7 +34,7 @@
 
 fn cells(count: u16) -> HashMap<Tag, u16> {
     let mut registry = Registry::new().with_cell_targets(16);
-    registry.take(targets(count), ms(0));
+    registry.apply_list(targets(count), ms(0));
     let cells = registry.all_cells();
     let tags = cells.flat_map(|(cell, targets)| targets.iter().map(move |it| (it.tag(), cell)));
     tags.map(|(tag, cell)| (tag, cell.index)).collect()
@@ -48,7 +48,7 @@
     let moved = before.iter().filter(|(tag, cell)| after[tag] != **cell);
     assert!(moved.count() <= 141 / 9 + 10);
     let mut registry = Registry::new().with_cell_targets(16);
-    registry.take(targets(140), ms(0));
+    registry.apply_list(targets(140), ms(0));
     for target in registry.all() {
         assert_eq!(registry.cell_of(target).index, before[&target.tag()]);
     }
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -104,8 +104,8 @@
 #[test]
 fn a_target_that_is_no_longer_listed_has_ended() {
     let mut registry = Registry::new();
-    registry.take(vec![target("a", 1), target("b", 2)], ms(0));
-    let changes = registry.take(vec![target("a", 1)], ms(900));
+    registry.apply_list(vec![target("a", 1), target("b", 2)], ms(0));
+    let changes = registry.apply_list(vec![target("a", 1)], ms(900));
     assert_eq!(changes, [Change::Ended(Arc::new(target("b", 2)))]);
     assert_eq!(registry.of("pool").len(), 1);
 }
@@ -115,11 +115,15 @@
 #[test]
 fn a_target_that_leaves_never_counts_as_ready_again() {
     let mut registry = Registry::new();
-    registry.take(vec![target("a", 1)], ms(0));
+    registry.apply_list(vec![target("a", 1)], ms(0));
     let mut leaving = target("a", 1);
     leaving.state = State::Leaving;
-    assert_eq!(registry.take(vec![leaving], ms(500)).len(), 1);
-    assert!(registry.take(vec![target("a", 1)], ms(900)).is_empty());
+    assert_eq!(registry.apply_list(vec![leaving], ms(500)).len(), 1);
+    assert!(
+        registry
+            .apply_list(vec![target("a", 1)], ms(900))
+            .is_empty()
+    );
     assert!(
         registry
             .take_settled(vec![target("a", 1)], ms(1200))
@@ -131,11 +135,11 @@
 #[test]
 fn after_an_outage_a_lapsed_target_is_kept_until_it_could_be_back() {
     let mut registry = Registry::new();
-    registry.take(vec![target("a", 1), target("b", 2)], ms(0));
+    registry.apply_list(vec![target("a", 1), target("b", 2)], ms(0));
     let back = OUTAGE_GAP + ms(1);
-    registry.take(vec![target("a", 1)], back);
+    registry.apply_list(vec![target("a", 1)], back);
     assert_eq!(registry.of("pool").len(), 2);
-    registry.take(vec![target("a", 1)], back + REAPPEARANCE_GRACE);
+    registry.apply_list(vec![target("a", 1)], back + REAPPEARANCE_GRACE);
     assert_eq!(registry.of("pool").len(), 1);
 }
 
@@ -145,17 +149,17 @@
 fn what_a_router_keeps_after_its_own_outage_is_not_told_and_ends_by_a_settled_list() {
     let (mut cut, mut other) = (Registry::new(), Registry::new());
     for registry in [&mut cut, &mut other] {
-        registry.take(vec![target("a", 1), target("b", 2)], ms(0));
+        registry.apply_list(vec![target("a", 1), target("b", 2)], ms(0));
     }
-    other.take(vec![target("a", 1)], ms(1500));
-    other.take(vec![target("a", 1)], ms(3000));
+    other.apply_list(vec![target("a", 1)], ms(1500));
+    other.apply_list(vec![target("a", 1)], ms(3000));
     let back = OUTAGE_GAP + ms(1500);
-    cut.take(vec![target("a", 1)], back);
+    cut.apply_list(vec![target("a", 1)], back);
     assert_eq!((cut.of("pool").len(), cut.settled()), (2, false));
     let told: Vec<_> = cut.listed().map(|it| it.as_ref().clone()).collect();
     assert_eq!(told, [target("a", 1)]);
     assert_eq!(cut.digest(), other.digest());
-    assert!(other.take(told, back).is_empty());
+    assert!(other.apply_list(told, back).is_empty());
     assert!(other.settled());
     let ended = cut.take_settled(vec![target("a", 1)], back + ms(100));
     assert_eq!(ended, [Change::Ended(Arc::new(target("b", 2)))]);
@@ -166,17 +170,17 @@
 fn the_first_list_of_a_router_settles_nothing() {
     let mut registry = Registry::new();
     assert!(!registry.settled());
-    registry.take(vec![target("a", 1)], ms(500));
+    registry.apply_list(vec![target("a", 1)], ms(500));
     assert!(!registry.settled());
-    registry.take(vec![target("a", 1)], ms(500) + REAPPEARANCE_GRACE);
+    registry.apply_list(vec![target("a", 1)], ms(500) + REAPPEARANCE_GRACE);
     assert!(registry.settled());
 }
 
 #[test]
 fn a_lapsed_target_whose_address_is_taken_has_ended() {
     let mut registry = Registry::new();
-    registry.take(vec![target("b", 2)], ms(0));
-    registry.take(vec![target("c", 2)], OUTAGE_GAP + ms(1));
+    registry.apply_list(vec![target("b", 2)], ms(0));
+    registry.apply_list(vec![target("c", 2)], OUTAGE_GAP + ms(1));
     let ids: Vec<_> = registry
         .of("pool")
         .iter()
@@ -188,22 +192,22 @@
 #[test]
 fn an_older_list_is_ignored_and_a_replaced_target_stays_away() {
     let mut registry = Registry::new();
-    registry.take(vec![target("a", 1)], ms(1000));
-    assert!(registry.take(Vec::new(), ms(900)).is_empty());
+    registry.apply_list(vec![target("a", 1)], ms(1000));
+    assert!(registry.apply_list(Vec::new(), ms(900)).is_empty());
     registry.forget(Tag::new("a"));
-    registry.take(vec![target("a", 1)], ms(1900));
+    registry.apply_list(vec![target("a", 1)], ms(1900));
     assert!(registry.of("pool").is_empty());
 }
 
 #[test]
 fn a_leaving_target_is_told_once() {
     let mut registry = Registry::new();
-    registry.take(vec![target("a", 1)], ms(0));
+    registry.apply_list(vec![target("a", 1)], ms(0));
     let mut leaving = target("a", 1);
     leaving.state = State::Leaving;
-    let changes = registry.take(vec![leaving.clone()], ms(900));
+    let changes = registry.apply_list(vec![leaving.clone()], ms(900));
     assert_eq!(changes, [Change::Leaving(Arc::new(leaving.clone()))]);
-    assert!(registry.take(vec![leaving], ms(1800)).is_empty());
+    assert!(registry.apply_list(vec![leaving], ms(1800)).is_empty());
 }
 
 #[test]
@@ -573,15 +577,15 @@
 #[test]
 fn a_peer_with_the_same_list_confirms_it_and_one_with_another_does_not() {
     let mut registry = Registry::new();
-    registry.take(vec![target("a", 1), target("b", 2)], ms(0));
+    registry.apply_list(vec![target("a", 1), target("b", 2)], ms(0));
     let mut other = Registry::new();
-    other.take(vec![target("b", 2), target("a", 1)], ms(0));
+    other.apply_list(vec![target("b", 2), target("a", 1)], ms(0));
     assert_eq!(registry.digest(), other.digest());
     registry.confirm(other.digest(), ms(700));
     assert_eq!(registry.read_at(), Some(ms(700)));
     let mut leaving = target("b", 2);
     leaving.state = State::Leaving;
-    other.take(vec![target("a", 1), leaving], ms(900));
+    other.apply_list(vec![target("a", 1), leaving], ms(900));
     assert_ne!(registry.digest(), other.digest());
     registry.confirm(other.digest(), ms(900));
     assert_eq!(registry.read_at(), Some(ms(700)));
--- a/crates/dispatch/tests/delta.rs
+++ b/crates/dispatch/tests/delta.rs
@@ -72,7 +72,7 @@
         let new = || Registry::new().with_cell_targets(3);
         let (mut log_reader, mut full_reader, mut peer) = (new(), new(), new());
         for registry in [&mut log_reader, &mut full_reader, &mut peer] {
-            registry.take(full_list(&store), READ_INTERVAL);
+            registry.apply_list(full_list(&store), READ_INTERVAL);
         }
         for (round, updates) in (2u32..).zip(rounds) {
             let as_of = READ_INTERVAL * round;
@@ -93,7 +93,7 @@
                 }
             }
             log_reader.take_delta(delta, as_of);
-            full_reader.take(full_list(&store), as_of);
+            full_reader.apply_list(full_list(&store), as_of);
             prop_assert_eq!(listed(&log_reader), listed(&full_reader));
             prop_assert_eq!(log_reader.digest(), full_reader.digest());
             prop_assert_eq!(log_reader.read_at(), Some(as_of));
@@ -111,7 +111,7 @@
 #[test]
 fn an_unchanged_entry_that_is_written_again_changes_nothing() {
     let mut registry = Registry::new();
-    registry.take(ready_targets(20), READ_INTERVAL);
+    registry.apply_list(ready_targets(20), READ_INTERVAL);
     let delta = Delta {
         written: ready_targets(20),
         ..Delta::default()
@@ -123,7 +123,7 @@
 #[test]
 fn an_entry_that_expires_during_an_outage_is_retained_as_with_full_lists() {
     let mut registry = Registry::new();
-    registry.take(ready_targets(2), READ_INTERVAL);
+    registry.apply_list(ready_targets(2), READ_INTERVAL);
     let dropped = Delta {
         dropped: vec![target(1, State::Ready).id],
         ..Delta::default()
@@ -140,20 +140,20 @@
 #[test]
 fn a_difference_to_a_list_that_has_since_changed_is_not_merged() {
     let (mut one, mut other) = (Registry::new(), Registry::new());
-    one.take(ready_targets(200), READ_INTERVAL);
-    other.take(ready_targets(150), READ_INTERVAL);
+    one.apply_list(ready_targets(200), READ_INTERVAL);
+    other.apply_list(ready_targets(150), READ_INTERVAL);
     let difference = one.differing(&other.checksums());
-    other.take(ready_targets(100), 2 * READ_INTERVAL);
+    other.apply_list(ready_targets(100), 2 * READ_INTERVAL);
     assert!(other.delta_of(difference).is_none());
 }
 
 /// Encoded bytes of a request and its answer for one change, as exchanged by two routers.
 fn exchanged_bytes(count: u16) -> usize {
     let (mut old, mut new) = (Registry::new(), Registry::new());
-    old.take(ready_targets(count), READ_INTERVAL);
+    old.apply_list(ready_targets(count), READ_INTERVAL);
     let mut list = ready_targets(count);
     list[0].state = State::Leaving;
-    new.take(list, READ_INTERVAL);
+    new.apply_list(list, READ_INTERVAL);
     let config = bincode::config::standard();
     let request = bincode::serde::encode_to_vec(old.checksums(), config).unwrap();
     let answer = new.differing(&old.checksums());
--- a/crates/dispatch/tests/incarnations.rs
+++ b/crates/dispatch/tests/incarnations.rs
@@ -53,8 +53,8 @@
 fn a_new_incarnation_is_a_new_target_and_ends_the_earlier_one() {
     for port in [1, 2] {
         let mut registry = Registry::new();
-        registry.take(vec![target("a", 1_000, 1)], ms(0));
-        let changes = registry.take(vec![target("a", 2_000, port)], ms(900));
+        registry.apply_list(vec![target("a", 1_000, 1)], ms(0));
+        let changes = registry.apply_list(vec![target("a", 2_000, port)], ms(900));
         assert_eq!(changes.len(), 2, "{changes:?}");
         let old = Arc::new(target("a", 1_000, 1));
         let new = Arc::new(target("a", 2_000, port));
@@ -68,10 +68,10 @@
 #[test]
 fn a_restarted_server_is_usable_at_once_after_leaving() {
     let mut registry = Registry::new();
-    registry.take(vec![leaving(target("a", 1_000, 1))], ms(0));
-    registry.take(vec![target("a", 1_000, 1)], ms(500));
+    registry.apply_list(vec![leaving(target("a", 1_000, 1))], ms(0));
+    registry.apply_list(vec![target("a", 1_000, 1)], ms(500));
     assert_eq!(usable(&registry), []);
-    registry.take(vec![target("a", 2_000, 1)], ms(900));
+    registry.apply_list(vec![target("a", 2_000, 1)], ms(900));
     assert_eq!(usable(&registry), only("a", 2_000));
 }
 
@@ -81,12 +81,12 @@
 fn an_older_incarnation_after_a_newer_one_changes_nothing() {
     for settled in [false, true] {
         let mut registry = Registry::new();
-        registry.take(vec![target("a", 2_000, 1)], ms(0));
+        registry.apply_list(vec![target("a", 2_000, 1)], ms(0));
         let late = vec![leaving(target("a", 1_000, 2))];
         let changes = if settled {
             registry.take_settled(late, ms(900))
         } else {
-            registry.take(late, ms(900))
+            registry.apply_list(late, ms(900))
         };
         assert_eq!(changes, []);
         assert_eq!(usable(&registry), only("a", 2_000));
@@ -97,9 +97,9 @@
 #[test]
 fn an_older_incarnation_is_ignored_after_the_newer_one_has_ended() {
     let mut registry = Registry::new();
-    registry.take(vec![target("a", 2_000, 1)], ms(0));
-    registry.take(Vec::new(), ms(900));
-    let changes = registry.take(vec![target("a", 1_000, 1)], ms(1_800));
+    registry.apply_list(vec![target("a", 2_000, 1)], ms(0));
+    registry.apply_list(Vec::new(), ms(900));
+    let changes = registry.apply_list(vec![target("a", 1_000, 1)], ms(1_800));
     assert_eq!(changes, []);
     assert_eq!(usable(&registry), []);
     assert!(INCARNATION_RETENTION > ms(1_800));
@@ -109,13 +109,13 @@
 #[test]
 fn a_seemingly_older_incarnation_is_accepted_once_the_newer_one_is_forgotten() {
     let mut registry = Registry::new();
-    registry.take(vec![target("a", 2_000, 1)], ms(0));
+    registry.apply_list(vec![target("a", 2_000, 1)], ms(0));
     let seconds = INCARNATION_RETENTION.as_secs();
     for second in 1..seconds {
-        registry.take(vec![target("a", 1_000, 1)], Duration::from_secs(second));
+        registry.apply_list(vec![target("a", 1_000, 1)], Duration::from_secs(second));
         assert_eq!(usable(&registry), only("a", 2_000));
     }
-    registry.take(vec![target("a", 1_000, 1)], INCARNATION_RETENTION);
+    registry.apply_list(vec![target("a", 1_000, 1)], INCARNATION_RETENTION);
     assert_eq!(usable(&registry), only("a", 1_000));
 }
 
@@ -124,8 +124,8 @@
 #[test]
 fn after_an_outage_an_earlier_incarnation_is_not_retained_beside_the_next() {
     let mut registry = Registry::new();
-    registry.take(vec![target("a", 1_000, 1), target("b", 1_000, 2)], ms(0));
-    registry.take(vec![target("a", 2_000, 3)], OUTAGE_GAP + ms(1));
+    registry.apply_list(vec![target("a", 1_000, 1), target("b", 1_000, 2)], ms(0));
+    registry.apply_list(vec![target("a", 2_000, 3)], OUTAGE_GAP + ms(1));
     let incarnations = registry.of("pool").iter();
     let incarnations: Vec<_> = incarnations.map(|it| (it.id.as_ref(), it.born)).collect();
     assert_eq!(incarnations, [("a", Some(2_000)), ("b", Some(1_000))]);
@@ -135,16 +135,19 @@
 #[test]
 fn a_superseded_incarnation_gets_no_new_work() {
     let mut registry = Registry::new();
-    registry.take(vec![target("a", 1_000, 1)], ms(0));
+    registry.apply_list(vec![target("a", 1_000, 1)], ms(0));
     let old = Arc::new(target("a", 1_000, 1));
     assert_eq!(
         registry.supersede("a", 2_000, ms(300)),
         Some(Change::Ended(old))
     );
     assert_eq!(registry.supersede("a", 1_000, ms(300)), None);
-    assert_eq!(registry.take(vec![target("a", 1_000, 1)], ms(900)), []);
+    assert_eq!(
+        registry.apply_list(vec![target("a", 1_000, 1)], ms(900)),
+        []
+    );
     assert_eq!(usable(&registry), []);
-    registry.take(vec![target("a", 2_000, 1)], ms(1_800));
+    registry.apply_list(vec![target("a", 2_000, 1)], ms(1_800));
     assert_eq!(usable(&registry), only("a", 2_000));
 }
 
@@ -152,8 +155,8 @@
 fn lists_with_different_incarnations_of_a_server_differ() {
     let mut one = Registry::new();
     let mut other = Registry::new();
-    one.take(vec![target("a", 1_000, 1)], ms(0));
-    other.take(vec![target("a", 2_000, 1)], ms(0));
+    one.apply_list(vec![target("a", 1_000, 1)], ms(0));
+    other.apply_list(vec![target("a", 2_000, 1)], ms(0));
     assert_ne!(one.digest(), other.digest());
 }
 
@@ -165,8 +168,8 @@
         born: None,
         ..target("a", 0, 1)
     };
-    registry.take(vec![plain.clone()], ms(0));
-    assert_eq!(registry.take(vec![plain], ms(900)), []);
+    registry.apply_list(vec![plain.clone()], ms(0));
+    assert_eq!(registry.apply_list(vec![plain], ms(900)), []);
     assert_eq!(usable(&registry), [("a".into(), None)]);
 }
 
@@ -176,19 +179,19 @@
 fn an_entry_that_becomes_unreadable_suspends_its_target() {
     let mut registry = Registry::new();
     let both = || vec![target("a", 1_000, 1), target("b", 1_000, 2)];
-    registry.take(both(), ms(0));
+    registry.apply_list(both(), ms(0));
     let overwritten = unreadable(vec![target("b", 1_000, 2)], "a");
-    let changes = registry.take(overwritten.clone(), ms(900));
+    let changes = registry.apply_list(overwritten.clone(), ms(900));
     assert!(matches!(&changes[..], [Change::Suspended(it)] if it.id.as_ref() == "a"));
     assert_eq!(usable(&registry), only("b", 1_000));
-    assert_eq!(registry.take(overwritten, ms(1_800)), []);
+    assert_eq!(registry.apply_list(overwritten, ms(1_800)), []);
     assert!(registry.get(target("a", 1_000, 1).tag()).is_some());
-    let changes = registry.take(both(), ms(2_700));
+    let changes = registry.apply_list(both(), ms(2_700));
     assert!(matches!(&changes[..], [Change::Added(it)] if it.id.as_ref() == "a"));
     assert_eq!(usable(&registry).len(), 2);
     let unknown = unreadable(both(), "c");
-    assert_eq!(registry.take(unknown, ms(3_600)), []);
-    let removed = registry.take(vec![target("b", 1_000, 2)], ms(4_500));
+    assert_eq!(registry.apply_list(unknown, ms(3_600)), []);
+    let removed = registry.apply_list(vec![target("b", 1_000, 2)], ms(4_500));
     assert!(matches!(&removed[..], [Change::Ended(it)] if it.id.as_ref() == "a"));
 }
 
@@ -197,9 +200,9 @@
 #[test]
 fn a_leaving_target_stays_leaving_although_its_entry_was_unreadable() {
     let mut registry = Registry::new();
-    registry.take(vec![leaving(target("a", 1_000, 1))], ms(0));
-    registry.take(unreadable(Vec::new(), "a"), ms(900));
-    registry.take(vec![target("a", 1_000, 1)], ms(1_800));
+    registry.apply_list(vec![leaving(target("a", 1_000, 1))], ms(0));
+    registry.apply_list(unreadable(Vec::new(), "a"), ms(900));
+    registry.apply_list(vec![target("a", 1_000, 1)], ms(1_800));
     assert_eq!(usable(&registry), []);
     assert_eq!(registry.of("pool")[0].state, State::Leaving);
 }
--- a/crates/dispatch/tests/leaving.rs
+++ b/crates/dispatch/tests/leaving.rs
@@ -35,12 +35,12 @@
 #[test]
 fn a_list_that_still_says_ready_has_no_effect() {
     let mut registry = Registry::new();
-    registry.take(list(), SECOND);
+    registry.apply_list(list(), SECOND);
     let (new, change) = registry.says_leaving(target(1, 1).tag(), SECOND);
     assert!(new);
     assert!(matches!(change, Some(Change::Leaving(_))));
     for second in 2..10 {
-        registry.take(list(), SECOND * second);
+        registry.apply_list(list(), SECOND * second);
         registry.take_settled(list(), SECOND * second);
         assert_eq!(state(&registry, &target(1, 1)), Some(State::Leaving));
     }
@@ -50,14 +50,14 @@
 #[test]
 fn a_leaving_target_stays_leaving_when_its_entry_reappears_or_is_restored() {
     let mut registry = Registry::new();
-    registry.take(list(), SECOND);
+    registry.apply_list(list(), SECOND);
     registry.says_leaving(target(1, 1).tag(), SECOND);
-    registry.take(vec![target(2, 1)], SECOND * 2);
+    registry.apply_list(vec![target(2, 1)], SECOND * 2);
     assert_eq!(state(&registry, &target(1, 1)), None);
-    registry.take(list(), SECOND * 2 + OUTAGE_GAP * 2);
+    registry.apply_list(list(), SECOND * 2 + OUTAGE_GAP * 2);
     assert_eq!(state(&registry, &target(1, 1)), Some(State::Leaving));
     registry.restored(SECOND * 8);
-    registry.take(list(), SECOND * 9);
+    registry.apply_list(list(), SECOND * 9);
     assert_eq!(state(&registry, &target(1, 1)), Some(State::Leaving));
 }
 
@@ -68,16 +68,16 @@
     let age = Duration::ZERO;
     let (new, changes) = registry.hear_leaving(&[Word { tag, age }], SECOND);
     assert_eq!((new.len(), changes.len()), (1, 0));
-    registry.take(list(), SECOND * 2);
+    registry.apply_list(list(), SECOND * 2);
     assert_eq!(state(&registry, &target(1, 1)), Some(State::Leaving));
 }
 
 #[test]
 fn a_new_incarnation_under_the_same_identity_is_another_target() {
     let mut registry = Registry::new();
-    registry.take(list(), SECOND);
+    registry.apply_list(list(), SECOND);
     registry.says_leaving(target(1, 1).tag(), SECOND);
-    registry.take(vec![target(1, 2), target(2, 1)], SECOND * 2);
+    registry.apply_list(vec![target(1, 2), target(2, 1)], SECOND * 2);
     assert_eq!(state(&registry, &target(1, 2)), Some(State::Ready));
     // A late announcement of the earlier incarnation.
     registry.says_leaving(target(1, 1).tag(), SECOND * 3);
--- a/crates/dispatch/tests/restore.rs
+++ b/crates/dispatch/tests/restore.rs
@@ -325,20 +325,20 @@
     let second = Duration::from_secs(1);
     let mut registry = Registry::new();
     let (old, new) = (target("old", 1), target("new", 2));
-    registry.take(vec![old.clone()], second);
+    registry.apply_list(vec![old.clone()], second);
     // The old target ends and the new one is added; then the store is restored from an earlier
     // backup.
-    registry.take(vec![new.clone()], 2 * second);
+    registry.apply_list(vec![new.clone()], 2 * second);
     registry.restored(3 * second);
-    let changes = registry.take(vec![old.clone()], 3 * second);
+    let changes = registry.apply_list(vec![old.clone()], 3 * second);
     assert!(changes.is_empty(), "{changes:?}");
     assert!(known(&registry, "new") && !known(&registry, "old"));
     // The new target writes its entry again; the entry of the old one has not expired yet.
-    let changes = registry.take(vec![old.clone(), new.clone()], 4 * second);
+    let changes = registry.apply_list(vec![old.clone(), new.clone()], 4 * second);
     assert!(changes.is_empty(), "{changes:?}");
     // A target that stays listed for longer than the entry of an ended target takes to expire is
     // alive.
-    registry.take(vec![old, new], 3 * second + ENTRY_EXPIRY);
+    registry.apply_list(vec![old, new], 3 * second + ENTRY_EXPIRY);
     assert!(known(&registry, "old"));
 }
 
@@ -347,11 +347,11 @@
 fn the_first_list_of_the_backup_does_not_resurrect_targets_either() {
     let second = Duration::from_secs(1);
     let mut registry = Registry::new();
-    registry.take(vec![target("old", 1), target("new", 2)], second);
-    registry.take(vec![target("new", 2)], 2 * second);
+    registry.apply_list(vec![target("old", 1), target("new", 2)], second);
+    registry.apply_list(vec![target("new", 2)], 2 * second);
     let as_of = 3 * second;
     registry.restored(as_of + second / 10);
-    let changes = registry.take(vec![target("old", 1)], as_of);
+    let changes = registry.apply_list(vec![target("old", 1)], as_of);
     assert!(changes.is_empty(), "{changes:?}");
     assert!(known(&registry, "new") && !known(&registry, "old"));
 }
@@ -360,12 +360,12 @@
 fn a_target_that_is_not_written_again_within_the_return_time_has_ended() {
     let second = Duration::from_secs(1);
     let mut registry = Registry::new();
-    registry.take(vec![target("a", 1), target("b", 2)], second);
+    registry.apply_list(vec![target("a", 1), target("b", 2)], second);
     registry.restored(2 * second);
     let step = OUTAGE_GAP / 2;
-    registry.take(vec![target("a", 1)], 2 * second + step);
+    registry.apply_list(vec![target("a", 1)], 2 * second + step);
     assert!(known(&registry, "b"));
-    registry.take(vec![target("a", 1)], 2 * second + REAPPEARANCE_GRACE);
+    registry.apply_list(vec![target("a", 1)], 2 * second + REAPPEARANCE_GRACE);
     assert!(!known(&registry, "b"));
 }
 
@@ -373,10 +373,10 @@
 fn a_peer_list_from_before_the_restore_does_not_end_targets_missing_from_the_backup() {
     let second = Duration::from_secs(1);
     let mut registry = Registry::new();
-    registry.take(vec![target("a", 1), target("b", 2)], second);
+    registry.apply_list(vec![target("a", 1), target("b", 2)], second);
     registry.restored(2 * second);
     registry.take_settled(vec![target("a", 1), target("b", 2)], 2 * second);
-    registry.take(vec![target("a", 1)], 2 * second + second / 2);
+    registry.apply_list(vec![target("a", 1)], 2 * second + second / 2);
     assert!(known(&registry, "b"));
 }
 
@@ -386,9 +386,9 @@
     let mut registry = Registry::new();
     let mut leaving = target("a", 1);
     leaving.state = State::Leaving;
-    registry.take(vec![leaving], second);
+    registry.apply_list(vec![leaving], second);
     registry.restored(2 * second);
-    registry.take(vec![target("a", 1)], 2 * second);
+    registry.apply_list(vec![target("a", 1)], 2 * second);
     let state = registry.get(Tag::new("a")).map(|it| it.state);
     assert_eq!(state, Some(State::Leaving));
 }
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -354,7 +354,7 @@
     let mut now = Duration::ZERO;
     time(|| {
         now += Duration::from_millis(1);
-        registry.take(targets.clone(), now)
+        registry.apply_list(targets.clone(), now)
     })
 }
 
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -296,7 +296,7 @@
         let changes = if list.settled {
             self.registry.take_settled(listing, list.as_of)
         } else {
-            self.registry.take(listing, list.as_of)
+            self.registry.apply_list(listing, list.as_of)
         };
         if self.registry.read_at() == Some(list.as_of) {
             self.registry_position = list.position;
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -206,7 +206,7 @@
         let settings = settings();
         let mut owner = State::new(&settings, Peer(u64::MAX));
         owner.table = Some(Rc::new(table()));
-        owner.registry.take(targets(), Duration::ZERO);
+        owner.registry.apply_list(targets(), Duration::ZERO);
         let mut fleet = Self {
             settings,
             owner,
--- a/crates/path/src/state/tests/homes.rs
+++ b/crates/path/src/state/tests/homes.rs
@@ -46,7 +46,7 @@
         for target in &mut listed {
             target.domain = DOMAINS[random.random_range(0..DOMAINS.len())].0.into();
         }
-        state.registry.take(listed.clone(), START);
+        state.registry.apply_list(listed.clone(), START);
         let (route, customer) = (drawn(&mut random), drawn(&mut random));
         let allowed = regions.allowed(&route).and(regions.allowed(&customer));
         let admits = |region: &str| naive(&route, region) && naive(&customer, region);
--- a/crates/path/src/state/tests/refusing.rs
+++ b/crates/path/src/state/tests/refusing.rs
@@ -166,7 +166,7 @@
     };
     let own = Peer(7);
     let mut state = State::new(&settings, own);
-    state.registry.take(targets(), START);
+    state.registry.apply_list(targets(), START);
     let home_of = |state: &State, at| state.home("pool", Prefix(1), Allowed::ANY, at).unwrap();
     let home = home_of(&state, START);
     assert_eq!(state.opening(home, START), Opening::Now);
