--- a/crates/dispatch/src/registry.rs
+++ b/crates/dispatch/src/registry.rs
@@ -172,7 +172,7 @@
 
     /// Applies the list of a peer that observed no outage: targets missing from it have ended,
     /// unless the store was restored from a backup shortly before `as_of`.
-    pub fn take_settled(&mut self, list: impl Into<Listing>, as_of: Duration) -> Vec<Change> {
+    pub fn apply_settled_list(&mut self, list: impl Into<Listing>, as_of: Duration) -> Vec<Change> {
         if self.read_at.is_some_and(|at| as_of < at) {
             return Vec::new();
         }
--- a/crates/dispatch/src/registry/delta.rs
+++ b/crates/dispatch/src/registry/delta.rs
@@ -47,7 +47,7 @@
         }
         if !self.is_incremental(&delta, as_of) {
             let listing = self.merged_listing(delta);
-            return self.take_settled(listing, as_of);
+            return self.apply_settled_list(listing, as_of);
         }
         self.retain_until = Duration::ZERO;
         self.settled_from = Duration::ZERO;
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -126,7 +126,7 @@
     );
     assert!(
         registry
-            .take_settled(vec![target("a", 1)], ms(1200))
+            .apply_settled_list(vec![target("a", 1)], ms(1200))
             .is_empty()
     );
     assert_eq!(registry.of("pool")[0].state, State::Leaving);
@@ -161,7 +161,7 @@
     assert_eq!(cut.digest(), other.digest());
     assert!(other.apply_list(told, back).is_empty());
     assert!(other.settled());
-    let ended = cut.take_settled(vec![target("a", 1)], back + ms(100));
+    let ended = cut.apply_settled_list(vec![target("a", 1)], back + ms(100));
     assert_eq!(ended, [Change::Ended(Arc::new(target("b", 2)))]);
     assert!(cut.settled());
 }
--- a/crates/dispatch/tests/incarnations.rs
+++ b/crates/dispatch/tests/incarnations.rs
@@ -84,7 +84,7 @@
         registry.apply_list(vec![target("a", 2_000, 1)], ms(0));
         let late = vec![leaving(target("a", 1_000, 2))];
         let changes = if settled {
-            registry.take_settled(late, ms(900))
+            registry.apply_settled_list(late, ms(900))
         } else {
             registry.apply_list(late, ms(900))
         };
--- a/crates/dispatch/tests/leaving.rs
+++ b/crates/dispatch/tests/leaving.rs
@@ -41,7 +41,7 @@
     assert!(matches!(change, Some(Change::Leaving(_))));
     for second in 2..10 {
         registry.apply_list(list(), SECOND * second);
-        registry.take_settled(list(), SECOND * second);
+        registry.apply_settled_list(list(), SECOND * second);
         assert_eq!(state(&registry, &target(1, 1)), Some(State::Leaving));
     }
     assert_eq!(state(&registry, &target(2, 1)), Some(State::Ready));
--- a/crates/dispatch/tests/restore.rs
+++ b/crates/dispatch/tests/restore.rs
@@ -375,7 +375,7 @@
     let mut registry = Registry::new();
     registry.apply_list(vec![target("a", 1), target("b", 2)], second);
     registry.restored(2 * second);
-    registry.take_settled(vec![target("a", 1), target("b", 2)], 2 * second);
+    registry.apply_settled_list(vec![target("a", 1), target("b", 2)], 2 * second);
     registry.apply_list(vec![target("a", 1)], 2 * second + second / 2);
     assert!(known(&registry, "b"));
 }
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -294,7 +294,7 @@
             unreadable: list.unreadable,
         };
         let changes = if list.settled {
-            self.registry.take_settled(listing, list.as_of)
+            self.registry.apply_settled_list(listing, list.as_of)
         } else {
             self.registry.apply_list(listing, list.as_of)
         };
