--- a/crates/dispatch/src/registry/delta.rs
+++ b/crates/dispatch/src/registry/delta.rs
@@ -24,7 +24,7 @@
 
 impl Registry {
     /// Applies the log records since the known list, up to the end of the log at `as_of`.
-    pub fn take_delta(&mut self, delta: Delta, as_of: Duration) -> Vec<Change> {
+    pub fn apply_delta(&mut self, delta: Delta, as_of: Duration) -> Vec<Change> {
         let Some(read_at) = self.read_at.filter(|at| as_of >= *at) else {
             return Vec::new();
         };
@@ -40,7 +40,7 @@
     /// `settled` says that the peer observed no outage.
     pub fn take_told(&mut self, delta: Delta, settled: bool, as_of: Duration) -> Vec<Change> {
         if !settled {
-            return self.take_delta(delta, as_of);
+            return self.apply_delta(delta, as_of);
         }
         if self.read_at.is_some_and(|at| as_of < at) {
             return Vec::new();
--- a/crates/dispatch/tests/delta.rs
+++ b/crates/dispatch/tests/delta.rs
@@ -92,7 +92,7 @@
                     None => delta.dropped.push(target(number, State::Ready).id),
                 }
             }
-            log_reader.take_delta(delta, as_of);
+            log_reader.apply_delta(delta, as_of);
             full_reader.apply_list(full_list(&store), as_of);
             prop_assert_eq!(listed(&log_reader), listed(&full_reader));
             prop_assert_eq!(log_reader.digest(), full_reader.digest());
@@ -116,7 +116,7 @@
         written: ready_targets(20),
         ..Delta::default()
     };
-    assert!(registry.take_delta(delta, 2 * READ_INTERVAL).is_empty());
+    assert!(registry.apply_delta(delta, 2 * READ_INTERVAL).is_empty());
     assert_eq!(registry.read_at(), Some(2 * READ_INTERVAL));
 }
 
@@ -129,10 +129,10 @@
         ..Delta::default()
     };
     let back = READ_INTERVAL + OUTAGE_GAP + Duration::from_millis(1);
-    assert!(registry.take_delta(dropped, back).is_empty());
+    assert!(registry.apply_delta(dropped, back).is_empty());
     assert_eq!(registry.of("pool").len(), 2);
     // The entry has not reappeared.
-    let changes = registry.take_delta(Delta::default(), back + OUTAGE_GAP);
+    let changes = registry.apply_delta(Delta::default(), back + OUTAGE_GAP);
     assert_eq!(changes.len(), 1);
     assert_eq!(registry.of("pool").len(), 1);
 }
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -321,7 +321,7 @@
         self.registry_reads.read(as_of);
         self.registry_position = Some(end);
         let written = delta.written.clone();
-        let changes = self.registry.take_delta(delta, as_of);
+        let changes = self.registry.apply_delta(delta, as_of);
         self.cold.renew(&written, as_of);
         Some(changes)
     }
