--- a/crates/dispatch/src/registry/delta.rs
+++ b/crates/dispatch/src/registry/delta.rs
@@ -38,7 +38,12 @@
 
     /// Applies the differences between a peer's list and the known one, as of the peer's list.
     /// `settled` says that the peer observed no outage.
-    pub fn take_told(&mut self, delta: Delta, settled: bool, as_of: Duration) -> Vec<Change> {
+    pub fn apply_peer_delta(
+        &mut self,
+        delta: Delta,
+        settled: bool,
+        as_of: Duration,
+    ) -> Vec<Change> {
         if !settled {
             return self.apply_delta(delta, as_of);
         }
--- a/crates/dispatch/tests/delta.rs
+++ b/crates/dispatch/tests/delta.rs
@@ -100,7 +100,7 @@
             prop_assert_eq!(indexed(&log_reader), indexed(&full_reader));
             let difference = log_reader.differing(&peer.checksums());
             let delta = peer.delta_of(difference).expect("the list has not changed since");
-            peer.take_told(delta, round % 2 == 0, as_of);
+            peer.apply_peer_delta(delta, round % 2 == 0, as_of);
             prop_assert_eq!(listed(&peer), listed(&log_reader));
             prop_assert_eq!(peer.digest(), log_reader.digest());
             prop_assert_eq!(indexed(&peer), indexed(&log_reader));
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -335,7 +335,9 @@
         self.registry_reads.adopt(told.reading, as_of);
         self.registry_position = told.position;
         let written = told.delta.written.clone();
-        let changes = self.registry.take_told(told.delta, told.settled, as_of);
+        let changes = self
+            .registry
+            .apply_peer_delta(told.delta, told.settled, as_of);
         self.cold.renew(&written, as_of);
         changes
     }
