--- a/crates/dispatch/src/registry/leaving.rs
+++ b/crates/dispatch/src/registry/leaving.rs
@@ -10,7 +10,7 @@
 impl Registry {
     /// Records a target's announcement that it is leaving; returns whether it is new, and the
     /// change that results.
-    pub fn says_leaving(&mut self, tag: Tag, now: Duration) -> (bool, Option<Change>) {
+    pub fn record_leaving(&mut self, tag: Tag, now: Duration) -> (bool, Option<Change>) {
         let new = self.leaving.note(tag, now);
         (new, self.mark_leaving(tag))
     }
--- a/crates/dispatch/tests/leaving.rs
+++ b/crates/dispatch/tests/leaving.rs
@@ -36,7 +36,7 @@
 fn a_list_that_still_says_ready_has_no_effect() {
     let mut registry = Registry::new();
     registry.apply_list(list(), SECOND);
-    let (new, change) = registry.says_leaving(target(1, 1).tag(), SECOND);
+    let (new, change) = registry.record_leaving(target(1, 1).tag(), SECOND);
     assert!(new);
     assert!(matches!(change, Some(Change::Leaving(_))));
     for second in 2..10 {
@@ -51,7 +51,7 @@
 fn a_leaving_target_stays_leaving_when_its_entry_reappears_or_is_restored() {
     let mut registry = Registry::new();
     registry.apply_list(list(), SECOND);
-    registry.says_leaving(target(1, 1).tag(), SECOND);
+    registry.record_leaving(target(1, 1).tag(), SECOND);
     registry.apply_list(vec![target(2, 1)], SECOND * 2);
     assert_eq!(state(&registry, &target(1, 1)), None);
     registry.apply_list(list(), SECOND * 2 + OUTAGE_GAP * 2);
@@ -76,11 +76,11 @@
 fn a_new_incarnation_under_the_same_identity_is_another_target() {
     let mut registry = Registry::new();
     registry.apply_list(list(), SECOND);
-    registry.says_leaving(target(1, 1).tag(), SECOND);
+    registry.record_leaving(target(1, 1).tag(), SECOND);
     registry.apply_list(vec![target(1, 2), target(2, 1)], SECOND * 2);
     assert_eq!(state(&registry, &target(1, 2)), Some(State::Ready));
     // A late announcement of the earlier incarnation.
-    registry.says_leaving(target(1, 1).tag(), SECOND * 3);
+    registry.record_leaving(target(1, 1).tag(), SECOND * 3);
     assert_eq!(state(&registry, &target(1, 2)), Some(State::Ready));
 }
 
--- a/crates/path/src/leaving.rs
+++ b/crates/path/src/leaving.rs
@@ -27,7 +27,7 @@
     let now = node.now();
     let (new, change) = {
         let mut state = node.state.borrow_mut();
-        state.registry.says_leaving(target.tag(), now)
+        state.registry.record_leaving(target.tag(), now)
     };
     if !new {
         return;
--- a/crates/path/src/state/tests/refusing.rs
+++ b/crates/path/src/state/tests/refusing.rs
@@ -187,7 +187,7 @@
     assert_eq!(state.opening(other, START), Opening::Now);
     assert_eq!(home_of(&state, START + FIRST_PAUSE), home);
     for target in targets() {
-        state.registry.says_leaving(target.tag(), START);
+        state.registry.record_leaving(target.tag(), START);
     }
     assert_eq!(home_of(&state, START), home);
     assert_eq!(state.opening(home, START), Opening::Never);
