--- a/crates/dispatch/src/registry/leaving.rs
+++ b/crates/dispatch/src/registry/leaving.rs
@@ -16,7 +16,7 @@
     }
 
     /// Merges a peer's announcements; returns those that are new, and the changes that result.
-    pub fn hear_leaving(&mut self, words: &[Word], now: Duration) -> (Vec<Word>, Vec<Change>) {
+    pub fn merge_leaving(&mut self, words: &[Word], now: Duration) -> (Vec<Word>, Vec<Change>) {
         let new = self.leaving.hear(words, now);
         let changes = new
             .iter()
--- a/crates/dispatch/tests/leaving.rs
+++ b/crates/dispatch/tests/leaving.rs
@@ -66,7 +66,7 @@
     let mut registry = Registry::new();
     let tag = target(1, 1).tag();
     let age = Duration::ZERO;
-    let (new, changes) = registry.hear_leaving(&[Word { tag, age }], SECOND);
+    let (new, changes) = registry.merge_leaving(&[Word { tag, age }], SECOND);
     assert_eq!((new.len(), changes.len()), (1, 0));
     registry.apply_list(list(), SECOND * 2);
     assert_eq!(state(&registry, &target(1, 1)), Some(State::Leaving));
--- a/crates/path/src/leaving.rs
+++ b/crates/path/src/leaving.rs
@@ -54,7 +54,7 @@
 /// Another router tells of targets that have said so.
 pub(crate) fn hear(node: &Node, words: &[Word]) {
     let now = node.now();
-    let (new, changes) = node.state.borrow_mut().registry.hear_leaving(words, now);
+    let (new, changes) = node.state.borrow_mut().registry.merge_leaving(words, now);
     carry_out(node, &changes, PEER);
     spread(node, &new);
 }
