--- a/crates/dispatch/src/registry/restore.rs
+++ b/crates/dispatch/src/registry/restore.rs
@@ -59,7 +59,7 @@
     /// Records that the store was restored from a backup some seconds old. Targets that the backup
     /// lacks are retained as after an outage; ended targets that it lists again are not considered
     /// alive.
-    pub fn restored(&mut self, now: Duration) {
+    pub fn record_restore(&mut self, now: Duration) {
         self.restore.record_restore(now);
         self.retain_until = now + REAPPEARANCE_GRACE;
         self.settled_from = now + REAPPEARANCE_GRACE;
--- a/crates/dispatch/tests/leaving.rs
+++ b/crates/dispatch/tests/leaving.rs
@@ -56,7 +56,7 @@
     assert_eq!(state(&registry, &target(1, 1)), None);
     registry.apply_list(list(), SECOND * 2 + OUTAGE_GAP * 2);
     assert_eq!(state(&registry, &target(1, 1)), Some(State::Leaving));
-    registry.restored(SECOND * 8);
+    registry.record_restore(SECOND * 8);
     registry.apply_list(list(), SECOND * 9);
     assert_eq!(state(&registry, &target(1, 1)), Some(State::Leaving));
 }
--- a/crates/dispatch/tests/restore.rs
+++ b/crates/dispatch/tests/restore.rs
@@ -329,7 +329,7 @@
     // The old target ends and the new one is added; then the store is restored from an earlier
     // backup.
     registry.apply_list(vec![new.clone()], 2 * second);
-    registry.restored(3 * second);
+    registry.record_restore(3 * second);
     let changes = registry.apply_list(vec![old.clone()], 3 * second);
     assert!(changes.is_empty(), "{changes:?}");
     assert!(known(&registry, "new") && !known(&registry, "old"));
@@ -350,7 +350,7 @@
     registry.apply_list(vec![target("old", 1), target("new", 2)], second);
     registry.apply_list(vec![target("new", 2)], 2 * second);
     let as_of = 3 * second;
-    registry.restored(as_of + second / 10);
+    registry.record_restore(as_of + second / 10);
     let changes = registry.apply_list(vec![target("old", 1)], as_of);
     assert!(changes.is_empty(), "{changes:?}");
     assert!(known(&registry, "new") && !known(&registry, "old"));
@@ -361,7 +361,7 @@
     let second = Duration::from_secs(1);
     let mut registry = Registry::new();
     registry.apply_list(vec![target("a", 1), target("b", 2)], second);
-    registry.restored(2 * second);
+    registry.record_restore(2 * second);
     let step = OUTAGE_GAP / 2;
     registry.apply_list(vec![target("a", 1)], 2 * second + step);
     assert!(known(&registry, "b"));
@@ -374,7 +374,7 @@
     let second = Duration::from_secs(1);
     let mut registry = Registry::new();
     registry.apply_list(vec![target("a", 1), target("b", 2)], second);
-    registry.restored(2 * second);
+    registry.record_restore(2 * second);
     registry.apply_settled_list(vec![target("a", 1), target("b", 2)], 2 * second);
     registry.apply_list(vec![target("a", 1)], 2 * second + second / 2);
     assert!(known(&registry, "b"));
@@ -387,7 +387,7 @@
     let mut leaving = target("a", 1);
     leaving.state = State::Leaving;
     registry.apply_list(vec![leaving], second);
-    registry.restored(2 * second);
+    registry.record_restore(2 * second);
     registry.apply_list(vec![target("a", 1)], 2 * second);
     let state = registry.get(Tag::new("a")).map(|it| it.state);
     assert_eq!(state, Some(State::Leaving));
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -346,7 +346,7 @@
     pub(crate) fn see_era(&mut self, era: u64, now: Duration) -> Sight {
         let sight = self.store.see(era, now);
         if sight == Sight::Restored {
-            self.registry.restored(now);
+            self.registry.record_restore(now);
         }
         sight
     }
