--- a/crates/dispatch/src/registry.rs
+++ b/crates/dispatch/src/registry.rs
@@ -350,7 +350,7 @@
 
     /// Removes a target that was replaced by another one at its address, even if it is still
     /// listed.
-    pub fn forget(&mut self, tag: Tag) {
+    pub fn remove_replaced(&mut self, tag: Tag) {
         let read_at = self.read_at.unwrap_or_default();
         self.replaced.insert(tag, read_at);
         if self.targets.remove(&tag).is_some() {
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -194,7 +194,7 @@
     let mut registry = Registry::new();
     registry.apply_list(vec![target("a", 1)], ms(1000));
     assert!(registry.apply_list(Vec::new(), ms(900)).is_empty());
-    registry.forget(Tag::new("a"));
+    registry.remove_replaced(Tag::new("a"));
     registry.apply_list(vec![target("a", 1)], ms(1900));
     assert!(registry.of("pool").is_empty());
 }
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -199,7 +199,10 @@
 
     /// Another target has this one's address.
     pub fn replaced(&self, target: &Target) {
-        self.state.borrow_mut().registry.forget(target.tag());
+        self.state
+            .borrow_mut()
+            .registry
+            .remove_replaced(target.tag());
         cut::ended(self, target);
         self.forget(target.tag());
         let line = self.journal.line("target_replaced");
