--- a/crates/dispatch/src/registry/partition.rs
+++ b/crates/dispatch/src/registry/partition.rs
@@ -82,7 +82,7 @@
 
     /// The parts of the list that differ from one with these checksums.
     #[must_use]
-    pub fn differing(&self, checksums: &Checksums) -> Difference {
+    pub fn difference_from(&self, checksums: &Checksums) -> Difference {
         let count = checksums.0.len().clamp(1, MAX_PARTS).next_power_of_two();
         let own = self.checksums.folded(count);
         let theirs = checksums.0.iter().copied().chain(std::iter::repeat(0));
--- a/crates/dispatch/tests/delta.rs
+++ b/crates/dispatch/tests/delta.rs
@@ -98,7 +98,7 @@
             prop_assert_eq!(log_reader.digest(), full_reader.digest());
             prop_assert_eq!(log_reader.read_at(), Some(as_of));
             prop_assert_eq!(indexed(&log_reader), indexed(&full_reader));
-            let difference = log_reader.differing(&peer.checksums());
+            let difference = log_reader.difference_from(&peer.checksums());
             let delta = peer.delta_of(difference).expect("the list has not changed since");
             peer.apply_peer_delta(delta, round % 2 == 0, as_of);
             prop_assert_eq!(listed(&peer), listed(&log_reader));
@@ -142,7 +142,7 @@
     let (mut one, mut other) = (Registry::new(), Registry::new());
     one.apply_list(ready_targets(200), READ_INTERVAL);
     other.apply_list(ready_targets(150), READ_INTERVAL);
-    let difference = one.differing(&other.checksums());
+    let difference = one.difference_from(&other.checksums());
     other.apply_list(ready_targets(100), 2 * READ_INTERVAL);
     assert!(other.delta_of(difference).is_none());
 }
@@ -156,7 +156,7 @@
     new.apply_list(list, READ_INTERVAL);
     let config = bincode::config::standard();
     let request = bincode::serde::encode_to_vec(old.checksums(), config).unwrap();
-    let answer = new.differing(&old.checksums());
+    let answer = new.difference_from(&old.checksums());
     let answer = bincode::serde::encode_to_vec(&answer, config).unwrap();
     request.len() + answer.len()
 }
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -258,7 +258,7 @@
     let reading = state.registry_reads.tell(now);
     let reading = reading.filter(|_| wanted.has(Part::Targets));
     let targets = reading.map(|read| Targets {
-        difference: state.registry.differing(&question.targets),
+        difference: state.registry.difference_from(&question.targets),
         read,
         position: state.registry_position,
         settled: state.registry.settled(),
