--- a/crates/dispatch/src/registry/partition.rs
+++ b/crates/dispatch/src/registry/partition.rs
@@ -103,7 +103,7 @@
     /// or if the known list has changed since its checksums were sent, so that the difference does
     /// not apply to it.
     #[must_use]
-    pub fn delta_of(&self, difference: Difference) -> Option<Delta> {
+    pub fn delta_from(&self, difference: Difference) -> Option<Delta> {
         let Difference {
             count,
             parts,
--- a/crates/dispatch/tests/delta.rs
+++ b/crates/dispatch/tests/delta.rs
@@ -99,7 +99,7 @@
             prop_assert_eq!(log_reader.read_at(), Some(as_of));
             prop_assert_eq!(indexed(&log_reader), indexed(&full_reader));
             let difference = log_reader.difference_from(&peer.checksums());
-            let delta = peer.delta_of(difference).expect("the list has not changed since");
+            let delta = peer.delta_from(difference).expect("the list has not changed since");
             peer.apply_peer_delta(delta, round % 2 == 0, as_of);
             prop_assert_eq!(listed(&peer), listed(&log_reader));
             prop_assert_eq!(peer.digest(), log_reader.digest());
@@ -144,7 +144,7 @@
     other.apply_list(ready_targets(150), READ_INTERVAL);
     let difference = one.difference_from(&other.checksums());
     other.apply_list(ready_targets(100), 2 * READ_INTERVAL);
-    assert!(other.delta_of(difference).is_none());
+    assert!(other.delta_from(difference).is_none());
 }
 
 /// Encoded bytes of a request and its answer for one change, as exchanged by two routers.
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -201,7 +201,7 @@
         let Some(as_of) = heard else {
             return;
         };
-        let delta = node.state.borrow().registry.delta_of(targets.difference);
+        let delta = node.state.borrow().registry.delta_from(targets.difference);
         let Some(delta) = delta else {
             // It is asked for again with the next greeting that tells of it.
             node.metrics.add("views_not_merged", "targets", 1);
