--- a/crates/dispatch/src/registry.rs
+++ b/crates/dispatch/src/registry.rs
@@ -440,7 +440,7 @@
 
     /// Targets of a service, ordered by identity.
     #[must_use]
-    pub fn of(&self, service: &str) -> &[Arc<Target>] {
+    pub fn targets_of_service(&self, service: &str) -> &[Arc<Target>] {
         self.index.service_targets(service)
     }
 
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -107,7 +107,7 @@
     registry.apply_list(vec![target("a", 1), target("b", 2)], ms(0));
     let changes = registry.apply_list(vec![target("a", 1)], ms(900));
     assert_eq!(changes, [Change::Ended(Arc::new(target("b", 2)))]);
-    assert_eq!(registry.of("pool").len(), 1);
+    assert_eq!(registry.targets_of_service("pool").len(), 1);
 }
 
 /// What a router has once heard of a leaving target binds it, whatever a disturbed store says
@@ -129,7 +129,7 @@
             .apply_settled_list(vec![target("a", 1)], ms(1200))
             .is_empty()
     );
-    assert_eq!(registry.of("pool")[0].state, State::Leaving);
+    assert_eq!(registry.targets_of_service("pool")[0].state, State::Leaving);
 }
 
 #[test]
@@ -138,9 +138,9 @@
     registry.apply_list(vec![target("a", 1), target("b", 2)], ms(0));
     let back = OUTAGE_GAP + ms(1);
     registry.apply_list(vec![target("a", 1)], back);
-    assert_eq!(registry.of("pool").len(), 2);
+    assert_eq!(registry.targets_of_service("pool").len(), 2);
     registry.apply_list(vec![target("a", 1)], back + REAPPEARANCE_GRACE);
-    assert_eq!(registry.of("pool").len(), 1);
+    assert_eq!(registry.targets_of_service("pool").len(), 1);
 }
 
 /// Fleet day fresh-cbbf: a failure domain that had been cut off came back and told all
@@ -155,7 +155,10 @@
     other.apply_list(vec![target("a", 1)], ms(3000));
     let back = OUTAGE_GAP + ms(1500);
     cut.apply_list(vec![target("a", 1)], back);
-    assert_eq!((cut.of("pool").len(), cut.settled()), (2, false));
+    assert_eq!(
+        (cut.targets_of_service("pool").len(), cut.settled()),
+        (2, false)
+    );
     let told: Vec<_> = cut.listed().map(|it| it.as_ref().clone()).collect();
     assert_eq!(told, [target("a", 1)]);
     assert_eq!(cut.digest(), other.digest());
@@ -182,7 +185,7 @@
     registry.apply_list(vec![target("b", 2)], ms(0));
     registry.apply_list(vec![target("c", 2)], OUTAGE_GAP + ms(1));
     let ids: Vec<_> = registry
-        .of("pool")
+        .targets_of_service("pool")
         .iter()
         .map(|it| it.id.to_string())
         .collect();
@@ -196,7 +199,7 @@
     assert!(registry.apply_list(Vec::new(), ms(900)).is_empty());
     registry.remove_replaced(Tag::new("a"));
     registry.apply_list(vec![target("a", 1)], ms(1900));
-    assert!(registry.of("pool").is_empty());
+    assert!(registry.targets_of_service("pool").is_empty());
 }
 
 #[test]
--- a/crates/dispatch/tests/delta.rs
+++ b/crates/dispatch/tests/delta.rs
@@ -37,7 +37,11 @@
         .map(|(cell, it)| (cell, ids(it)))
         .collect();
     cells.sort();
-    (ids(registry.of("pool")), cells, registry.checksums())
+    (
+        ids(registry.targets_of_service("pool")),
+        cells,
+        registry.checksums(),
+    )
 }
 
 fn ready_targets(count: u16) -> Vec<Target> {
@@ -130,11 +134,11 @@
     };
     let back = READ_INTERVAL + OUTAGE_GAP + Duration::from_millis(1);
     assert!(registry.apply_delta(dropped, back).is_empty());
-    assert_eq!(registry.of("pool").len(), 2);
+    assert_eq!(registry.targets_of_service("pool").len(), 2);
     // The entry has not reappeared.
     let changes = registry.apply_delta(Delta::default(), back + OUTAGE_GAP);
     assert_eq!(changes.len(), 1);
-    assert_eq!(registry.of("pool").len(), 1);
+    assert_eq!(registry.targets_of_service("pool").len(), 1);
 }
 
 #[test]
--- a/crates/dispatch/tests/incarnations.rs
+++ b/crates/dispatch/tests/incarnations.rs
@@ -38,7 +38,7 @@
 
 /// Identity and start time of the targets that may get new work.
 fn usable(registry: &Registry) -> Vec<(Arc<str>, Option<u64>)> {
-    let ready = registry.of("pool").iter();
+    let ready = registry.targets_of_service("pool").iter();
     let ready = ready.filter(|it| it.state == State::Ready);
     ready.map(|it| (it.id.clone(), it.born)).collect()
 }
@@ -126,7 +126,7 @@
     let mut registry = Registry::new();
     registry.apply_list(vec![target("a", 1_000, 1), target("b", 1_000, 2)], ms(0));
     registry.apply_list(vec![target("a", 2_000, 3)], OUTAGE_GAP + ms(1));
-    let incarnations = registry.of("pool").iter();
+    let incarnations = registry.targets_of_service("pool").iter();
     let incarnations: Vec<_> = incarnations.map(|it| (it.id.as_ref(), it.born)).collect();
     assert_eq!(incarnations, [("a", Some(2_000)), ("b", Some(1_000))]);
 }
@@ -204,5 +204,5 @@
     registry.apply_list(unreadable(Vec::new(), "a"), ms(900));
     registry.apply_list(vec![target("a", 1_000, 1)], ms(1_800));
     assert_eq!(usable(&registry), []);
-    assert_eq!(registry.of("pool")[0].state, State::Leaving);
+    assert_eq!(registry.targets_of_service("pool")[0].state, State::Leaving);
 }
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -392,7 +392,7 @@
         if outcome == Outcome::Good {
             self.backoffs.note_running(target.tag(), now);
         }
-        let targets = self.registry.of(&target.service);
+        let targets = self.registry.targets_of_service(&target.service);
         note(&mut self.health, targets, target, outcome, now)
     }
 
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -129,7 +129,7 @@
         let table = self.table.clone()?;
         let targets = self.registry.of_cell(wish.cell);
         let service = targets.first().map(|it| it.service.clone())?;
-        let engines = self.registry.of(&service).len();
+        let engines = self.registry.targets_of_service(&service).len();
         if wish.prompt.is_some() {
             self.engines_seen = self.engines_seen.max(engines);
         }
