--- a/crates/dispatch/src/registry.rs
+++ b/crates/dispatch/src/registry.rs
@@ -413,7 +413,7 @@
 
     /// Targets of a cell, ordered by identity.
     #[must_use]
-    pub fn of_cell(&self, cell: Cell) -> &[Arc<Target>] {
+    pub fn targets_of_cell(&self, cell: Cell) -> &[Arc<Target>] {
         let cells = self.cells(cell.service, cell.region);
         cells
             .get(usize::from(cell.index))
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -411,13 +411,13 @@
         now: Duration,
     ) -> bool {
         let cell = self.registry.cell_of(target);
-        let targets = self.registry.of_cell(cell);
+        let targets = self.registry.targets_of_cell(cell);
         note(&mut self.reported, targets, target, outcome, now)
     }
 
     /// Targets of a cell that this router leaves alone.
     pub(crate) fn avoided(&self, cell: Cell, now: Duration) -> Vec<Tag> {
-        let targets = self.registry.of_cell(cell);
+        let targets = self.registry.targets_of_cell(cell);
         let tags = targets.iter().map(|it| it.tag());
         tags.filter(|it| self.health.ejected(*it, now)).collect()
     }
--- a/crates/path/src/state/barred.rs
+++ b/crates/path/src/state/barred.rs
@@ -100,7 +100,7 @@
     }
 
     fn first_opening(&self, cell: Cell, closed: impl Fn(Tag) -> Option<Duration>) -> Opening {
-        let targets = self.registry.of_cell(cell);
+        let targets = self.registry.targets_of_cell(cell);
         if targets.is_empty() {
             // None is known yet, or none any more.
             return Opening::Now;
@@ -120,7 +120,7 @@
 
     /// Targets of a cell that want nothing of this router for now.
     pub(crate) fn backed_off(&self, cell: Cell, now: Duration) -> Vec<Tag> {
-        let targets = self.registry.of_cell(cell).iter();
+        let targets = self.registry.targets_of_cell(cell).iter();
         let tags = targets.map(|it| it.tag());
         tags.filter(|it| self.backoffs.named_until(self.peer, *it, now).is_some())
             .collect()
--- a/crates/path/src/state/candidates.rs
+++ b/crates/path/src/state/candidates.rs
@@ -29,7 +29,11 @@
                 && !self.reported.ejected(tag, now)
                 && !wish.avoid.contains(&tag)
         };
-        let usable = self.registry.of_cell(wish.cell).iter().filter(usable);
+        let usable = self
+            .registry
+            .targets_of_cell(wish.cell)
+            .iter()
+            .filter(usable);
         let usable = self.apart(wish, usable.collect(), now);
         let candidates = usable.into_iter().map(|target| {
             let tag = target.tag();
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -127,7 +127,7 @@
         }
         let prompt = wish.prompt.as_deref();
         let table = self.table.clone()?;
-        let targets = self.registry.of_cell(wish.cell);
+        let targets = self.registry.targets_of_cell(wish.cell);
         let service = targets.first().map(|it| it.service.clone())?;
         let engines = self.registry.targets_of_service(&service).len();
         if wish.prompt.is_some() {
--- a/crates/path/src/state/tests/homes.rs
+++ b/crates/path/src/state/tests/homes.rs
@@ -69,7 +69,7 @@
         elsewhere += usize::from(other.is_some());
         assert_ne!(other.map(|it| it.region), Some(home.region));
         for cell in [Some(home), other].into_iter().flatten() {
-            for target in state.registry.of_cell(cell) {
+            for target in state.registry.targets_of_cell(cell) {
                 assert!(admits(region_of(target)), "{route:?} {customer:?}");
             }
         }
--- a/crates/path/src/state/tests/refusing.rs
+++ b/crates/path/src/state/tests/refusing.rs
@@ -173,7 +173,7 @@
     let named = Some(FIRST_PAUSE);
     let closed: Vec<_> = state
         .registry
-        .of_cell(home)
+        .targets_of_cell(home)
         .iter()
         .map(|it| it.tag())
         .collect();
