--- a/crates/dispatch/src/registry.rs
+++ b/crates/dispatch/src/registry.rs
@@ -458,7 +458,7 @@
     }
 
     /// All targets, including those that are retained after an outage.
-    pub fn all(&self) -> impl Iterator<Item = &Arc<Target>> {
+    pub fn targets(&self) -> impl Iterator<Item = &Arc<Target>> {
         self.targets.values()
     }
 
--- a/crates/dispatch/tests/cells.rs
+++ b/crates/dispatch/tests/cells.rs
@@ -49,7 +49,7 @@
     assert!(moved.count() <= 141 / 9 + 10);
     let mut registry = Registry::new().with_cell_targets(16);
     registry.apply_list(targets(140), ms(0));
-    for target in registry.all() {
+    for target in registry.targets() {
         assert_eq!(registry.cell_of(target).index, before[&target.tag()]);
     }
 }
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -363,7 +363,7 @@
             let evacuation::Change::Reopened(domain) = change else {
                 continue;
             };
-            for tag in cold::of_domain(self.registry.all(), domain) {
+            for tag in cold::of_domain(self.registry.targets(), domain) {
                 self.cold.doubt(tag, now);
             }
         }
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -160,13 +160,13 @@
     #[must_use]
     pub fn knows_target(&self, id: &str) -> bool {
         let state = self.state.borrow();
-        state.registry.all().any(|it| it.id.as_ref() == id)
+        state.registry.targets().any(|it| it.id.as_ref() == id)
     }
 
     /// How many targets are known.
     #[must_use]
     pub fn targets_known(&self) -> usize {
-        self.state.borrow().registry.all().count()
+        self.state.borrow().registry.targets().count()
     }
 
     /// When the list of targets was true, its own or confirmed by a peer.
