--- a/crates/dispatch/src/registry/restore.rs
+++ b/crates/dispatch/src/registry/restore.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::{REAPPEARANCE_GRACE, Registry};
-use crate::store::RESTORE_TIME;
+use crate::store::RESTORE_WINDOW;
 use crate::target::{Tag, Target};
 
 /// Time within which the entry of an ended target expires again in a restored store: three
@@ -32,7 +32,7 @@
     /// Drops targets that ended so long ago that no backup still lists them.
     pub(super) fn prune(&mut self, as_of: Duration) {
         self.ended
-            .retain(|_, at| as_of.saturating_sub(*at) < RESTORE_TIME);
+            .retain(|_, at| as_of.saturating_sub(*at) < RESTORE_WINDOW);
     }
 
     /// Whether a list as of `as_of` may contain an ended target only because the backup does.
@@ -44,7 +44,8 @@
 
     /// Whether the lists of a restored store are still to be treated with caution.
     pub(super) fn is_active(&self, as_of: Duration) -> bool {
-        self.restored_at.is_some_and(|at| as_of < at + RESTORE_TIME)
+        self.restored_at
+            .is_some_and(|at| as_of < at + RESTORE_WINDOW)
     }
 
     /// Whether a list as of `as_of`, from a peer that observed no outage, shows which targets have
--- a/crates/dispatch/src/store.rs
+++ b/crates/dispatch/src/store.rs
@@ -3,7 +3,7 @@
 //! A store that is restored from a backup has lost its latest writes: its offsets go back and are
 //! assigned again, to other records. The store counts its restores in an *era*, so a [`Position`]
 //! is an offset together with its era. Data of an earlier era is stale. Records that a new era
-//! lacks may simply not have been written again yet, for [`RESTORE_TIME`] after the restore.
+//! lacks may simply not have been written again yet, for [`RESTORE_WINDOW`] after the restore.
 
 use std::cmp::Ordering;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 /// How long operators and targets may take to rewrite what a backup lacks: the time within which
 /// the platform requires the whole fleet to recover from its worst fault, at most 15 s.
-pub const RESTORE_TIME: Duration = Duration::from_secs(15);
+pub const RESTORE_WINDOW: Duration = Duration::from_secs(15);
 
 /// Position of a record in the log of a topic.
 #[derive(
@@ -82,6 +82,6 @@
     #[must_use]
     pub fn restoring(&self, now: Duration) -> bool {
         let since = self.restored_since(now);
-        since.is_some_and(|it| it < RESTORE_TIME)
+        since.is_some_and(|it| it < RESTORE_WINDOW)
     }
 }
--- a/crates/dispatch/tests/restore.rs
+++ b/crates/dispatch/tests/restore.rs
@@ -9,7 +9,7 @@
 use dunlinward_dispatch::evacuation::{Change, Evacuations, Order};
 use dunlinward_dispatch::quarantine::{Entry, Fate, Finding, Ledger};
 use dunlinward_dispatch::registry::{ENTRY_EXPIRY, OUTAGE_GAP, REAPPEARANCE_GRACE, Registry};
-use dunlinward_dispatch::store::{Era, Position, RESTORE_TIME, Sight};
+use dunlinward_dispatch::store::{Era, Position, RESTORE_WINDOW, Sight};
 use dunlinward_dispatch::target::{State, Tag, Target};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -191,7 +191,11 @@
         // The order is written again 5 s after the restore, and revoked later.
         fleet.run(Duration::from_secs(3), Some(&store), all_reachable);
         store.write("hall-c", true);
-        fleet.run(RESTORE_TIME + CONVERGENCE_TIME, Some(&store), all_reachable);
+        fleet.run(
+            RESTORE_WINDOW + CONVERGENCE_TIME,
+            Some(&store),
+            all_reachable,
+        );
         assert_eq!(fleet.evacuated("hall-c"), size, "{size} routers");
         store.write("hall-c", false);
         fleet.run(CONVERGENCE_TIME, Some(&store), all_reachable);
@@ -214,7 +218,7 @@
         fleet.run(CONVERGENCE_TIME, Some(&store), all_reachable);
         store.restore(&backup);
         fleet.run(
-            RESTORE_TIME.saturating_sub(STEP),
+            RESTORE_WINDOW.saturating_sub(STEP),
             Some(&store),
             all_reachable,
         );
@@ -300,7 +304,7 @@
     assert_eq!(era.see(3, Duration::from_secs(2)), Sight::Stale);
     assert_eq!(era.see(4, Duration::from_secs(2)), Sight::Current);
     assert!(era.restoring(Duration::from_secs(2)));
-    assert!(!era.restoring(Duration::from_secs(1) + RESTORE_TIME));
+    assert!(!era.restoring(Duration::from_secs(1) + RESTORE_WINDOW));
 }
 
 fn target(id: &str, port: u16) -> Target {
