--- a/crates/dispatch/src/store.rs
+++ b/crates/dispatch/src/store.rs
@@ -27,7 +27,7 @@
 
 /// How an observed era compares to the newest known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sight {
+pub enum Observation {
     /// It is the newest known era.
     Current,
     /// It is newer than all known eras: the store was restored from a backup.
@@ -46,22 +46,22 @@
 impl Era {
     /// Records the era named by an answer of the store or by a peer. The first era observed does
     /// not indicate a restore.
-    pub fn see(&mut self, era: u64, now: Duration) -> Sight {
+    pub fn see(&mut self, era: u64, now: Duration) -> Observation {
         let Some(newest) = self.newest else {
             self.newest = Some(era);
-            return Sight::Current;
+            return Observation::Current;
         };
         match era.cmp(&newest) {
             Ordering::Less => {
                 // A router that starts after the restore learns of it this way.
                 self.restored_at.get_or_insert(now);
-                Sight::Stale
+                Observation::Stale
             }
-            Ordering::Equal => Sight::Current,
+            Ordering::Equal => Observation::Current,
             Ordering::Greater => {
                 self.newest = Some(era);
                 self.restored_at = Some(now);
-                Sight::Restored
+                Observation::Restored
             }
         }
     }
--- a/crates/dispatch/tests/restore.rs
+++ b/crates/dispatch/tests/restore.rs
@@ -9,7 +9,7 @@
 use dunlinward_dispatch::evacuation::{Change, Evacuations, Order};
 use dunlinward_dispatch::quarantine::{Entry, Fate, Finding, Ledger};
 use dunlinward_dispatch::registry::{ENTRY_EXPIRY, OUTAGE_GAP, REAPPEARANCE_GRACE, Registry};
-use dunlinward_dispatch::store::{Era, Position, RESTORE_WINDOW, Sight};
+use dunlinward_dispatch::store::{Era, Observation, Position, RESTORE_WINDOW};
 use dunlinward_dispatch::target::{State, Tag, Target};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -80,7 +80,7 @@
 
 impl Router {
     fn read(&mut self, store: &Store, now: Duration) {
-        assert_ne!(self.era.see(store.era, now), Sight::Stale);
+        assert_ne!(self.era.see(store.era, now), Observation::Stale);
         let end = store.position(store.log.len());
         let follows = self.next_read.filter(|it| it.era == store.era);
         let changes = match follows {
@@ -295,14 +295,14 @@
 #[test]
 fn an_answer_of_an_earlier_era_is_stale() {
     let mut era = Era::default();
-    assert_eq!(era.see(3, Duration::ZERO), Sight::Current);
+    assert_eq!(era.see(3, Duration::ZERO), Observation::Current);
     assert!(
         !era.restoring(Duration::ZERO),
         "the first era observed does not indicate a restore"
     );
-    assert_eq!(era.see(4, Duration::from_secs(1)), Sight::Restored);
-    assert_eq!(era.see(3, Duration::from_secs(2)), Sight::Stale);
-    assert_eq!(era.see(4, Duration::from_secs(2)), Sight::Current);
+    assert_eq!(era.see(4, Duration::from_secs(1)), Observation::Restored);
+    assert_eq!(era.see(3, Duration::from_secs(2)), Observation::Stale);
+    assert_eq!(era.see(4, Duration::from_secs(2)), Observation::Current);
     assert!(era.restoring(Duration::from_secs(2)));
     assert!(!era.restoring(Duration::from_secs(1) + RESTORE_WINDOW));
 }
--- a/crates/path/src/evacuation.rs
+++ b/crates/path/src/evacuation.rs
@@ -2,7 +2,7 @@
 //! and what follows.
 
 use dunlinward_dispatch::evacuation::{Change, Evacuations, Order};
-use dunlinward_dispatch::store::{Position, Sight};
+use dunlinward_dispatch::store::{Observation, Position};
 
 use crate::gossip;
 use crate::node::Node;
@@ -15,16 +15,16 @@
         let now = self.now();
         let sight = self.state.borrow_mut().see_era(era, now);
         match sight {
-            Sight::Current => {}
-            Sight::Stale => self.metrics.add("store_stale", source, 1),
-            Sight::Restored => {
+            Observation::Current => {}
+            Observation::Stale => self.metrics.add("store_stale", source, 1),
+            Observation::Restored => {
                 self.metrics.add("store_restored", source, 1);
                 let line = self.journal.line("store_restored").with("era", era);
                 drop(line.with("source", source));
                 gossip::spread(self);
             }
         }
-        sight != Sight::Stale
+        sight != Observation::Stale
     }
 
     /// Whether the store came back from a copy so lately that it may lack what was written.
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -31,7 +31,7 @@
 use dunlinward_dispatch::returns::Returns;
 use dunlinward_dispatch::roundtrip::RoundTrips;
 use dunlinward_dispatch::share::{self, Shares};
-use dunlinward_dispatch::store::{Era, Position, Sight};
+use dunlinward_dispatch::store::{Era, Observation, Position};
 use dunlinward_dispatch::target::{Tag, Target};
 use dunlinward_dispatch::tries::Tries;
 use dunlinward_dispatch::usage::{Peer, Usage};
@@ -343,9 +343,9 @@
     }
 
     /// The store, or a peer, names an era.
-    pub(crate) fn see_era(&mut self, era: u64, now: Duration) -> Sight {
+    pub(crate) fn see_era(&mut self, era: u64, now: Duration) -> Observation {
         let sight = self.store.see(era, now);
-        if sight == Sight::Restored {
+        if sight == Observation::Restored {
             self.registry.record_restore(now);
         }
         sight
