--- a/crates/dispatch/src/store.rs
+++ b/crates/dispatch/src/store.rs
@@ -46,7 +46,7 @@
 impl Era {
     /// Records the era named by an answer of the store or by a peer. The first era observed does
     /// not indicate a restore.
-    pub fn see(&mut self, era: u64, now: Duration) -> Observation {
+    pub fn observe(&mut self, era: u64, now: Duration) -> Observation {
         let Some(newest) = self.newest else {
             self.newest = Some(era);
             return Observation::Current;
--- a/crates/dispatch/tests/restore.rs
+++ b/crates/dispatch/tests/restore.rs
@@ -80,7 +80,7 @@
 
 impl Router {
     fn read(&mut self, store: &Store, now: Duration) {
-        assert_ne!(self.era.see(store.era, now), Observation::Stale);
+        assert_ne!(self.era.observe(store.era, now), Observation::Stale);
         let end = store.position(store.log.len());
         let follows = self.next_read.filter(|it| it.era == store.era);
         let changes = match follows {
@@ -99,12 +99,12 @@
 
     fn merge(&mut self, other: &Self, now: Duration) {
         if let Some(era) = other.era.newest() {
-            self.era.see(era, now);
+            self.era.observe(era, now);
         }
         if other.evacuations.digest() != self.evacuations.digest() {
             let orders: Vec<_> = other.evacuations.orders().collect();
             for order in orders.iter().filter(|it| it.evacuated) {
-                self.era.see(order.at.era, now);
+                self.era.observe(order.at.era, now);
             }
             let changes = orders
                 .into_iter()
@@ -295,14 +295,17 @@
 #[test]
 fn an_answer_of_an_earlier_era_is_stale() {
     let mut era = Era::default();
-    assert_eq!(era.see(3, Duration::ZERO), Observation::Current);
+    assert_eq!(era.observe(3, Duration::ZERO), Observation::Current);
     assert!(
         !era.restoring(Duration::ZERO),
         "the first era observed does not indicate a restore"
     );
-    assert_eq!(era.see(4, Duration::from_secs(1)), Observation::Restored);
-    assert_eq!(era.see(3, Duration::from_secs(2)), Observation::Stale);
-    assert_eq!(era.see(4, Duration::from_secs(2)), Observation::Current);
+    assert_eq!(
+        era.observe(4, Duration::from_secs(1)),
+        Observation::Restored
+    );
+    assert_eq!(era.observe(3, Duration::from_secs(2)), Observation::Stale);
+    assert_eq!(era.observe(4, Duration::from_secs(2)), Observation::Current);
     assert!(era.restoring(Duration::from_secs(2)));
     assert!(!era.restoring(Duration::from_secs(1) + RESTORE_WINDOW));
 }
