--- a/crates/dispatch/src/store.rs
+++ b/crates/dispatch/src/store.rs
@@ -74,14 +74,14 @@
 
     /// Time since the last known restore of the store; `None` if no restore is known.
     #[must_use]
-    pub fn restored_since(&self, now: Duration) -> Option<Duration> {
+    pub fn time_since_restore(&self, now: Duration) -> Option<Duration> {
         self.restored_at.map(|at| now.saturating_sub(at))
     }
 
     /// Whether records that the newest era lacks may not have been written again yet.
     #[must_use]
     pub fn restoring(&self, now: Duration) -> bool {
-        let since = self.restored_since(now);
+        let since = self.time_since_restore(now);
         since.is_some_and(|it| it < RESTORE_WINDOW)
     }
 }
