--- a/crates/dispatch/src/evacuation.rs
+++ b/crates/dispatch/src/evacuation.rs
@@ -70,7 +70,7 @@
     }
 
     /// Applies an order, unless one as new is known.
-    pub fn take(&mut self, order: Order) -> Option<Change> {
+    pub fn apply(&mut self, order: Order) -> Option<Change> {
         let Order {
             domain,
             evacuated,
@@ -108,7 +108,7 @@
         });
         let revoked: Vec<_> = revoked.collect();
         let all = listed.into_iter().chain(revoked);
-        all.filter_map(|it| self.take(it)).collect()
+        all.filter_map(|it| self.apply(it)).collect()
     }
 
     /// Whether an evacuation of an earlier era is still in force although the time for writing it
--- a/crates/dispatch/tests/restore.rs
+++ b/crates/dispatch/tests/restore.rs
@@ -87,7 +87,7 @@
             Some(from) if !self.evacuations.overdue(&self.era, now) => {
                 let from = usize::try_from(from.offset).unwrap();
                 let orders = (from..store.log.len()).map(|it| store.order(it));
-                orders.filter_map(|it| self.evacuations.take(it)).collect()
+                orders.filter_map(|it| self.evacuations.apply(it)).collect()
             }
             _ => self
                 .evacuations
@@ -108,7 +108,7 @@
             }
             let changes = orders
                 .into_iter()
-                .filter_map(|it| self.evacuations.take(it));
+                .filter_map(|it| self.evacuations.apply(it));
             self.changes.extend(changes);
         }
     }
--- a/crates/path/src/evacuation.rs
+++ b/crates/path/src/evacuation.rs
@@ -50,7 +50,7 @@
         self.change_evacuations(source, |it| {
             orders
                 .into_iter()
-                .filter_map(|order| it.take(order))
+                .filter_map(|order| it.apply(order))
                 .collect()
         });
     }
--- a/crates/path/src/state/tests/spared.rs
+++ b/crates/path/src/state/tests/spared.rs
@@ -120,7 +120,7 @@
     };
     fleet
         .owner
-        .change_evacuations(now, |it| it.take(order).into_iter().collect());
+        .change_evacuations(now, |it| it.apply(order).into_iter().collect());
 }
 
 #[test]
