--- a/crates/dispatch/src/evacuation.rs
+++ b/crates/dispatch/src/evacuation.rs
@@ -89,7 +89,7 @@
     }
 
     /// Applies the full list of the store's newest orders, which ended at `end`.
-    pub fn take_list(
+    pub fn apply_list(
         &mut self,
         listed: Vec<Order>,
         end: Position,
--- a/crates/dispatch/tests/restore.rs
+++ b/crates/dispatch/tests/restore.rs
@@ -91,7 +91,7 @@
             }
             _ => self
                 .evacuations
-                .take_list(store.list(), end, &self.era, now),
+                .apply_list(store.list(), end, &self.era, now),
         };
         self.changes.extend(changes);
         self.next_read = Some(end);
--- a/crates/path/src/evacuation.rs
+++ b/crates/path/src/evacuation.rs
@@ -59,7 +59,7 @@
     pub fn take_evacuation_list(&self, listed: Vec<Order>, end: Position, source: &str) {
         let now = self.now();
         let era = self.state.borrow().store;
-        self.change_evacuations(source, |it| it.take_list(listed, end, &era, now));
+        self.change_evacuations(source, |it| it.apply_list(listed, end, &era, now));
     }
 
     fn change_evacuations(&self, source: &str, take: impl FnOnce(&mut Evacuations) -> Vec<Change>) {
