--- a/crates/dispatch/src/evacuation.rs
+++ b/crates/dispatch/src/evacuation.rs
@@ -114,7 +114,7 @@
     /// Whether an evacuation of an earlier era is still in force although the time for writing it
     /// again has passed.
     #[must_use]
-    pub fn overdue(&self, era: &Era, now: Duration) -> bool {
+    pub fn has_expired(&self, era: &Era, now: Duration) -> bool {
         let newest = era.newest();
         let earlier = |it: &Status| newest.is_some_and(|newest| it.at.era < newest);
         let mut known = self.known.values();
--- a/crates/dispatch/tests/restore.rs
+++ b/crates/dispatch/tests/restore.rs
@@ -84,7 +84,7 @@
         let end = store.position(store.log.len());
         let follows = self.next_read.filter(|it| it.era == store.era);
         let changes = match follows {
-            Some(from) if !self.evacuations.overdue(&self.era, now) => {
+            Some(from) if !self.evacuations.has_expired(&self.era, now) => {
                 let from = usize::try_from(from.offset).unwrap();
                 let orders = (from..store.log.len()).map(|it| store.order(it));
                 orders.filter_map(|it| self.evacuations.apply(it)).collect()
--- a/crates/path/src/evacuation.rs
+++ b/crates/path/src/evacuation.rs
@@ -37,7 +37,7 @@
     #[must_use]
     pub fn evacuations_overdue(&self) -> bool {
         let state = self.state.borrow();
-        state.evacuations.overdue(&state.store, self.now())
+        state.evacuations.has_expired(&state.store, self.now())
     }
 
     /// Takes orders, from the operators' topic or from a peer.
