--- a/crates/dispatch/src/evacuation.rs
+++ b/crates/dispatch/src/evacuation.rs
@@ -56,7 +56,7 @@
 impl Evacuations {
     /// Whether the targets of a domain get no requests.
     #[must_use]
-    pub fn evacuated(&self, domain: &str) -> bool {
+    pub fn is_evacuated(&self, domain: &str) -> bool {
         self.known.get(domain).is_some_and(|it| it.evacuated)
     }
 
--- a/crates/dispatch/tests/restore.rs
+++ b/crates/dispatch/tests/restore.rs
@@ -160,7 +160,7 @@
     fn evacuated(&self, domain: &str) -> usize {
         let routers = self.routers.iter();
         routers
-            .filter(|it| it.evacuations.evacuated(domain))
+            .filter(|it| it.evacuations.is_evacuated(domain))
             .count()
     }
 }
--- a/crates/path/src/state/barred.rs
+++ b/crates/path/src/state/barred.rs
@@ -77,7 +77,7 @@
 
     /// Whether a target's failure domain is evacuated.
     pub(crate) fn evacuated(&self, target: &Target) -> bool {
-        self.evacuations.evacuated(&target.domain)
+        self.evacuations.is_evacuated(&target.domain)
     }
 
     /// Whether a target may get work of any router, as far as lists, operators and it itself say.
