--- a/crates/dispatch/src/leaving.rs
+++ b/crates/dispatch/src/leaving.rs
@@ -22,7 +22,7 @@
 
 /// A target's announcement that it is leaving, as routers exchange it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct Notice {
     /// The target.
     pub tag: Tag,
     /// Time since the first router received the announcement from the target.
@@ -34,14 +34,14 @@
 /// of this kind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    words: Vec<Word>,
+    words: Vec<Notice>,
     checksum: u64,
 }
 
 impl Report {
     /// Announcements with their checksum.
     #[must_use]
-    pub fn new(words: Vec<Word>) -> Self {
+    pub fn new(words: Vec<Notice>) -> Self {
         let checksum = checksum(words.iter().map(|it| it.tag));
         Self { words, checksum }
     }
@@ -54,7 +54,7 @@
 
     /// The announcements.
     #[must_use]
-    pub fn words(&self) -> &[Word] {
+    pub fn words(&self) -> &[Notice] {
         &self.words
     }
 }
@@ -80,7 +80,7 @@
     }
 
     /// Merges a peer's announcements; returns those that are new.
-    pub fn hear(&mut self, words: &[Word], now: Duration) -> Vec<Word> {
+    pub fn hear(&mut self, words: &[Notice], now: Duration) -> Vec<Notice> {
         let recent = words.iter().filter(|it| it.age < KEPT);
         let new = recent.filter(|it| self.note(it.tag, now.saturating_sub(it.age)));
         new.copied().collect()
@@ -88,8 +88,8 @@
 
     /// All retained announcements, for sending to peers.
     #[must_use]
-    pub fn words(&self, now: Duration) -> Vec<Word> {
-        let words = self.announced.iter().map(|(tag, at)| Word {
+    pub fn words(&self, now: Duration) -> Vec<Notice> {
+        let words = self.announced.iter().map(|(tag, at)| Notice {
             tag: *tag,
             age: now.saturating_sub(*at),
         });
--- a/crates/dispatch/src/registry/leaving.rs
+++ b/crates/dispatch/src/registry/leaving.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::{Change, Registry};
-use crate::leaving::{Leaving, Word};
+use crate::leaving::{Leaving, Notice};
 use crate::target::{State, Tag};
 
 impl Registry {
@@ -16,7 +16,7 @@
     }
 
     /// Merges a peer's announcements; returns those that are new, and the changes that result.
-    pub fn merge_leaving(&mut self, words: &[Word], now: Duration) -> (Vec<Word>, Vec<Change>) {
+    pub fn merge_leaving(&mut self, words: &[Notice], now: Duration) -> (Vec<Notice>, Vec<Change>) {
         let new = self.leaving.hear(words, now);
         let changes = new
             .iter()
--- a/crates/dispatch/tests/leaving.rs
+++ b/crates/dispatch/tests/leaving.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use dunlinward_dispatch::leaving::{KEPT, Leaving, Word};
+use dunlinward_dispatch::leaving::{KEPT, Leaving, Notice};
 use dunlinward_dispatch::registry::{Change, OUTAGE_GAP, Registry};
 use dunlinward_dispatch::target::{State, Tag, Target};
 use rand::rngs::StdRng;
@@ -66,7 +66,7 @@
     let mut registry = Registry::new();
     let tag = target(1, 1).tag();
     let age = Duration::ZERO;
-    let (new, changes) = registry.merge_leaving(&[Word { tag, age }], SECOND);
+    let (new, changes) = registry.merge_leaving(&[Notice { tag, age }], SECOND);
     assert_eq!((new.len(), changes.len()), (1, 0));
     registry.apply_list(list(), SECOND * 2);
     assert_eq!(state(&registry, &target(1, 1)), Some(State::Leaving));
@@ -129,9 +129,13 @@
 fn an_old_announcement_of_a_peer_does_not_restart_its_retention() {
     let mut leaving = Leaving::default();
     let tag = Tag(7);
-    assert!(leaving.hear(&[Word { tag, age: KEPT }], SECOND).is_empty());
+    assert!(
+        leaving
+            .hear(&[Notice { tag, age: KEPT }], SECOND)
+            .is_empty()
+    );
     let age = KEPT.saturating_sub(SECOND);
-    leaving.hear(&[Word { tag, age }], KEPT);
+    leaving.hear(&[Notice { tag, age }], KEPT);
     leaving.prune(KEPT + SECOND * 2);
     assert!(!leaving.contains(tag));
 }
--- a/crates/path/src/leaving.rs
+++ b/crates/path/src/leaving.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use dunlinward_dispatch::leaving::{Report, Word};
+use dunlinward_dispatch::leaving::{Notice, Report};
 use dunlinward_dispatch::registry::Change;
 use dunlinward_dispatch::report::Content;
 use dunlinward_dispatch::target::Target;
@@ -41,7 +41,7 @@
     let line = node.journal.line("leaving_told");
     let line = line.with("target", target.id.as_ref());
     drop(line.with("owner", owner.to_string()));
-    let word = [Word {
+    let word = [Notice {
         tag: target.tag(),
         age: Duration::ZERO,
     }];
@@ -52,7 +52,7 @@
 }
 
 /// Another router tells of targets that have said so.
-pub(crate) fn hear(node: &Node, words: &[Word]) {
+pub(crate) fn hear(node: &Node, words: &[Notice]) {
     let now = node.now();
     let (new, changes) = node.state.borrow_mut().registry.merge_leaving(words, now);
     carry_out(node, &changes, PEER);
@@ -60,7 +60,7 @@
 }
 
 /// Tells a few others at once what is new here; each that did not know does the same.
-fn spread(node: &Node, new: &[Word]) {
+fn spread(node: &Node, new: &[Notice]) {
     if new.is_empty() {
         return;
     }
