--- a/crates/dispatch/src/leaving.rs
+++ b/crates/dispatch/src/leaving.rs
@@ -5,7 +5,7 @@
 //! of the router that received it: routers forward it to each other, and only a new incarnation,
 //! which has another [`Tag`], supersedes it. An entry that still says ready is stale.
 //!
-//! Each router retains every announcement for [`KEPT`] after it was made, so routers that exchange
+//! Each router retains every announcement for [`RETENTION`] after it was made, so routers that exchange
 //! all their announcements converge to the same set, regardless of delivery order.
 
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
 
 /// How long an announcement is retained: far longer than a leaving target keeps running, which is
 /// many seconds at the most, so that no stale entry makes it ready again.
-pub const KEPT: Duration = Duration::from_mins(10);
+pub const RETENTION: Duration = Duration::from_mins(10);
 
 /// A target's announcement that it is leaving, as routers exchange it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -81,7 +81,7 @@
 
     /// Merges a peer's announcements; returns those that are new.
     pub fn hear(&mut self, words: &[Notice], now: Duration) -> Vec<Notice> {
-        let recent = words.iter().filter(|it| it.age < KEPT);
+        let recent = words.iter().filter(|it| it.age < RETENTION);
         let new = recent.filter(|it| self.note(it.tag, now.saturating_sub(it.age)));
         new.copied().collect()
     }
@@ -108,9 +108,9 @@
         checksum(self.announced.keys().copied())
     }
 
-    /// Drops announcements older than [`KEPT`].
+    /// Drops announcements older than [`RETENTION`].
     pub fn prune(&mut self, now: Duration) {
         self.announced
-            .retain(|_, at| now.saturating_sub(*at) < KEPT);
+            .retain(|_, at| now.saturating_sub(*at) < RETENTION);
     }
 }
--- a/crates/dispatch/tests/leaving.rs
+++ b/crates/dispatch/tests/leaving.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use dunlinward_dispatch::leaving::{KEPT, Leaving, Notice};
+use dunlinward_dispatch::leaving::{Leaving, Notice, RETENTION};
 use dunlinward_dispatch::registry::{Change, OUTAGE_GAP, Registry};
 use dunlinward_dispatch::target::{State, Tag, Target};
 use rand::rngs::StdRng;
@@ -117,7 +117,7 @@
             assert_eq!(router.digest(), routers[0].digest(), "seed {seed}");
             assert!(all.iter().all(|it| router.contains(*it)), "seed {seed}");
         }
-        let after_retention = now + KEPT;
+        let after_retention = now + RETENTION;
         for router in &mut routers {
             router.prune(after_retention);
             assert_eq!(router.digest(), 0);
@@ -131,11 +131,17 @@
     let tag = Tag(7);
     assert!(
         leaving
-            .hear(&[Notice { tag, age: KEPT }], SECOND)
+            .hear(
+                &[Notice {
+                    tag,
+                    age: RETENTION
+                }],
+                SECOND
+            )
             .is_empty()
     );
-    let age = KEPT.saturating_sub(SECOND);
-    leaving.hear(&[Notice { tag, age }], KEPT);
-    leaving.prune(KEPT + SECOND * 2);
+    let age = RETENTION.saturating_sub(SECOND);
+    leaving.hear(&[Notice { tag, age }], RETENTION);
+    leaving.prune(RETENTION + SECOND * 2);
     assert!(!leaving.contains(tag));
 }
