--- a/crates/dispatch/src/leaving.rs
+++ b/crates/dispatch/src/leaving.rs
@@ -34,28 +34,28 @@
 /// of this kind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    words: Vec<Notice>,
+    notices: Vec<Notice>,
     checksum: u64,
 }
 
 impl Report {
     /// Announcements with their checksum.
     #[must_use]
-    pub fn new(words: Vec<Notice>) -> Self {
-        let checksum = checksum(words.iter().map(|it| it.tag));
-        Self { words, checksum }
+    pub fn new(notices: Vec<Notice>) -> Self {
+        let checksum = checksum(notices.iter().map(|it| it.tag));
+        Self { notices, checksum }
     }
 
     /// Whether the checksum matches the announcements.
     #[must_use]
     pub fn plausible(&self) -> bool {
-        checksum(self.words.iter().map(|it| it.tag)) == self.checksum
+        checksum(self.notices.iter().map(|it| it.tag)) == self.checksum
     }
 
     /// The announcements.
     #[must_use]
-    pub fn words(&self) -> &[Notice] {
-        &self.words
+    pub fn notices(&self) -> &[Notice] {
+        &self.notices
     }
 }
 
--- a/crates/path/src/inbox.rs
+++ b/crates/path/src/inbox.rs
@@ -100,6 +100,6 @@
         Content::Return(returned) => owner::returned(node, sender, returned),
         Content::Work(work) => owner::work(node, sender, &work),
         Content::Findings(findings) => quarantine::hear(node, &findings),
-        Content::Leaving(report) => leaving::hear(node, report.words()),
+        Content::Leaving(report) => leaving::hear(node, report.notices()),
     }
 }
