--- a/crates/dispatch/src/leaving.rs
+++ b/crates/dispatch/src/leaving.rs
@@ -80,20 +80,20 @@
     }
 
     /// Merges a peer's announcements; returns those that are new.
-    pub fn hear(&mut self, words: &[Notice], now: Duration) -> Vec<Notice> {
-        let recent = words.iter().filter(|it| it.age < RETENTION);
+    pub fn hear(&mut self, notices: &[Notice], now: Duration) -> Vec<Notice> {
+        let recent = notices.iter().filter(|it| it.age < RETENTION);
         let new = recent.filter(|it| self.note(it.tag, now.saturating_sub(it.age)));
         new.copied().collect()
     }
 
     /// All retained announcements, for sending to peers.
     #[must_use]
-    pub fn words(&self, now: Duration) -> Vec<Notice> {
-        let words = self.announced.iter().map(|(tag, at)| Notice {
+    pub fn notices(&self, now: Duration) -> Vec<Notice> {
+        let notices = self.announced.iter().map(|(tag, at)| Notice {
             tag: *tag,
             age: now.saturating_sub(*at),
         });
-        words.collect()
+        notices.collect()
     }
 
     /// Whether a target has announced that it is leaving.
--- a/crates/dispatch/src/registry/leaving.rs
+++ b/crates/dispatch/src/registry/leaving.rs
@@ -16,8 +16,12 @@
     }
 
     /// Merges a peer's announcements; returns those that are new, and the changes that result.
-    pub fn merge_leaving(&mut self, words: &[Notice], now: Duration) -> (Vec<Notice>, Vec<Change>) {
-        let new = self.leaving.hear(words, now);
+    pub fn merge_leaving(
+        &mut self,
+        notices: &[Notice],
+        now: Duration,
+    ) -> (Vec<Notice>, Vec<Change>) {
+        let new = self.leaving.hear(notices, now);
         let changes = new
             .iter()
             .filter_map(|it| self.mark_leaving(it.tag))
--- a/crates/dispatch/tests/leaving.rs
+++ b/crates/dispatch/tests/leaving.rs
@@ -101,14 +101,14 @@
                 routers[router].note(tag, now);
                 all.push(tag);
             } else {
-                let notices = routers[rng.random_range(0..5)].words(now);
+                let notices = routers[rng.random_range(0..5)].notices(now);
                 routers[router].hear(&notices, now);
             }
         }
         for _ in 0..2 {
             for one in 0..5 {
                 for other in 0..5 {
-                    let notices = routers[other].words(now);
+                    let notices = routers[other].notices(now);
                     routers[one].hear(&notices, now);
                 }
             }
--- a/crates/path/src/leaving.rs
+++ b/crates/path/src/leaving.rs
@@ -72,7 +72,7 @@
 pub(crate) fn compare(node: &Node, sender: SocketAddr, digest: u64) {
     let own = node.state.borrow().registry.leaving().digest();
     if own != digest && own != 0 {
-        let words = node.state.borrow().registry.leaving().words(node.now());
+        let words = node.state.borrow().registry.leaving().notices(node.now());
         node.send(sender, Content::Leaving(Report::new(words)));
     }
 }
