--- a/crates/dispatch/src/leaving.rs
+++ b/crates/dispatch/src/leaving.rs
@@ -73,7 +73,7 @@
 
 impl Leaving {
     /// Records that a target announced at `at` that it is leaving; returns whether that is new.
-    pub fn note(&mut self, tag: Tag, at: Duration) -> bool {
+    pub fn record(&mut self, tag: Tag, at: Duration) -> bool {
         let new = !self.announced.contains_key(&tag);
         self.announced.entry(tag).or_insert(at);
         new
@@ -82,7 +82,7 @@
     /// Merges a peer's announcements; returns those that are new.
     pub fn hear(&mut self, notices: &[Notice], now: Duration) -> Vec<Notice> {
         let recent = notices.iter().filter(|it| it.age < RETENTION);
-        let new = recent.filter(|it| self.note(it.tag, now.saturating_sub(it.age)));
+        let new = recent.filter(|it| self.record(it.tag, now.saturating_sub(it.age)));
         new.copied().collect()
     }
 
--- a/crates/dispatch/src/registry/leaving.rs
+++ b/crates/dispatch/src/registry/leaving.rs
@@ -11,7 +11,7 @@
     /// Records a target's announcement that it is leaving; returns whether it is new, and the
     /// change that results.
     pub fn record_leaving(&mut self, tag: Tag, now: Duration) -> (bool, Option<Change>) {
-        let new = self.leaving.note(tag, now);
+        let new = self.leaving.record(tag, now);
         (new, self.mark_leaving(tag))
     }
 
--- a/crates/dispatch/tests/leaving.rs
+++ b/crates/dispatch/tests/leaving.rs
@@ -98,7 +98,7 @@
             let router = rng.random_range(0..routers.len());
             if rng.random_bool(0.3) {
                 let tag = Tag(rng.random_range(0..20));
-                routers[router].note(tag, now);
+                routers[router].record(tag, now);
                 all.push(tag);
             } else {
                 let notices = routers[rng.random_range(0..5)].notices(now);
