--- a/crates/dispatch/src/leaving.rs
+++ b/crates/dispatch/src/leaving.rs
@@ -80,7 +80,7 @@
     }
 
     /// Merges a peer's announcements; returns those that are new.
-    pub fn hear(&mut self, notices: &[Notice], now: Duration) -> Vec<Notice> {
+    pub fn merge(&mut self, notices: &[Notice], now: Duration) -> Vec<Notice> {
         let recent = notices.iter().filter(|it| it.age < RETENTION);
         let new = recent.filter(|it| self.record(it.tag, now.saturating_sub(it.age)));
         new.copied().collect()
--- a/crates/dispatch/src/registry/leaving.rs
+++ b/crates/dispatch/src/registry/leaving.rs
@@ -21,7 +21,7 @@
         notices: &[Notice],
         now: Duration,
     ) -> (Vec<Notice>, Vec<Change>) {
-        let new = self.leaving.hear(notices, now);
+        let new = self.leaving.merge(notices, now);
         let changes = new
             .iter()
             .filter_map(|it| self.mark_leaving(it.tag))
--- a/crates/dispatch/tests/leaving.rs
+++ b/crates/dispatch/tests/leaving.rs
@@ -102,14 +102,14 @@
                 all.push(tag);
             } else {
                 let notices = routers[rng.random_range(0..5)].notices(now);
-                routers[router].hear(&notices, now);
+                routers[router].merge(&notices, now);
             }
         }
         for _ in 0..2 {
             for one in 0..5 {
                 for other in 0..5 {
                     let notices = routers[other].notices(now);
-                    routers[one].hear(&notices, now);
+                    routers[one].merge(&notices, now);
                 }
             }
         }
@@ -131,7 +131,7 @@
     let tag = Tag(7);
     assert!(
         leaving
-            .hear(
+            .merge(
                 &[Notice {
                     tag,
                     age: RETENTION
@@ -141,7 +141,7 @@
             .is_empty()
     );
     let age = RETENTION.saturating_sub(SECOND);
-    leaving.hear(&[Notice { tag, age }], RETENTION);
+    leaving.merge(&[Notice { tag, age }], RETENTION);
     leaving.prune(RETENTION + SECOND * 2);
     assert!(!leaving.contains(tag));
 }
