--- a/crates/dispatch/src/leaving.rs
+++ b/crates/dispatch/src/leaving.rs
@@ -66,12 +66,12 @@
 
 /// All retained announcements.
 #[derive(Clone, Debug, Default)]
-pub struct Leaving {
+pub struct Notices {
     /// When each target first announced it.
     announced: BTreeMap<Tag, Duration>,
 }
 
-impl Leaving {
+impl Notices {
     /// Records that a target announced at `at` that it is leaving; returns whether that is new.
     pub fn record(&mut self, tag: Tag, at: Duration) -> bool {
         let new = !self.announced.contains_key(&tag);
--- a/crates/dispatch/src/registry.rs
+++ b/crates/dispatch/src/registry.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 use crate::cell::{self, Cell, ServiceTag};
-use crate::leaving::Leaving;
+use crate::leaving::Notices;
 use crate::region::{Region, Regions};
 use crate::target::{State, Tag, Target};
 
@@ -106,7 +106,7 @@
     /// Newest incarnations of the servers that publish a start time.
     incarnations: Incarnations,
     /// Targets that have announced that they are leaving.
-    leaving: Leaving,
+    leaving: Notices,
     digest: u64,
     checksums: Checksums,
 }
@@ -134,7 +134,7 @@
             replaced: HashMap::new(),
             restore: Restore::default(),
             incarnations: Incarnations::default(),
-            leaving: Leaving::default(),
+            leaving: Notices::default(),
             digest: 0,
             checksums: Checksums::empty(),
         }
--- a/crates/dispatch/src/registry/leaving.rs
+++ b/crates/dispatch/src/registry/leaving.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::{Change, Registry};
-use crate::leaving::{Leaving, Notice};
+use crate::leaving::{Notice, Notices};
 use crate::target::{State, Tag};
 
 impl Registry {
@@ -31,7 +31,7 @@
 
     /// The retained announcements.
     #[must_use]
-    pub fn leaving(&self) -> &Leaving {
+    pub fn leaving(&self) -> &Notices {
         &self.leaving
     }
 
--- a/crates/dispatch/tests/leaving.rs
+++ b/crates/dispatch/tests/leaving.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use dunlinward_dispatch::leaving::{Leaving, Notice, RETENTION};
+use dunlinward_dispatch::leaving::{Notice, Notices, RETENTION};
 use dunlinward_dispatch::registry::{Change, OUTAGE_GAP, Registry};
 use dunlinward_dispatch::target::{State, Tag, Target};
 use rand::rngs::StdRng;
@@ -90,7 +90,7 @@
 fn routers_that_exchange_announcements_converge() {
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut routers = vec![Leaving::default(); 5];
+        let mut routers = vec![Notices::default(); 5];
         let mut all = Vec::new();
         let mut now = SECOND;
         for _ in 0..60 {
@@ -127,7 +127,7 @@
 
 #[test]
 fn an_old_announcement_of_a_peer_does_not_restart_its_retention() {
-    let mut leaving = Leaving::default();
+    let mut leaving = Notices::default();
     let tag = Tag(7);
     assert!(
         leaving
