--- a/crates/path/src/evacuation.rs
+++ b/crates/path/src/evacuation.rs
@@ -2,7 +2,7 @@
 //! and what follows.
 
 use dunlinward_dispatch::evacuation::{Change, Evacuations, Order};
-use dunlinward_dispatch::store::{Position, Sight};
+use dunlinward_dispatch::store::{Observation, Position};
 
 use crate::gossip;
 use crate::node::Node;
@@ -15,16 +15,16 @@
         let now = self.now();
         let sight = self.state.borrow_mut().see_era(era, now);
         match sight {
-            Sight::Current => {}
-            Sight::Stale => self.metrics.add("store_stale", source, 1),
-            Sight::Restored => {
+            Observation::Current => {}
+            Observation::Stale => self.metrics.add("store_stale", source, 1),
+            Observation::Restored => {
                 self.metrics.add("store_restored", source, 1);
                 let line = self.journal.line("store_restored").with("era", era);
                 drop(line.with("source", source));
                 gossip::spread(self);
             }
         }
-        sight != Sight::Stale
+        sight != Observation::Stale
     }
 
     /// Whether the store came back from a copy so lately that it may lack what was written.
@@ -37,7 +37,7 @@
     #[must_use]
     pub fn evacuations_overdue(&self) -> bool {
         let state = self.state.borrow();
-        state.evacuations.overdue(&state.store, self.now())
+        state.evacuations.has_expired(&state.store, self.now())
     }
 
     /// Takes orders, from the operators' topic or from a peer.
@@ -50,7 +50,7 @@
         self.change_evacuations(source, |it| {
             orders
                 .into_iter()
-                .filter_map(|order| it.take(order))
+                .filter_map(|order| it.apply(order))
                 .collect()
         });
     }
@@ -59,7 +59,7 @@
     pub fn take_evacuation_list(&self, listed: Vec<Order>, end: Position, source: &str) {
         let now = self.now();
         let era = self.state.borrow().store;
-        self.change_evacuations(source, |it| it.take_list(listed, end, &era, now));
+        self.change_evacuations(source, |it| it.apply_list(listed, end, &era, now));
     }
 
     fn change_evacuations(&self, source: &str, take: impl FnOnce(&mut Evacuations) -> Vec<Change>) {
--- a/crates/path/src/leaving.rs
+++ b/crates/path/src/leaving.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use dunlinward_dispatch::leaving::{Report, Word};
+use dunlinward_dispatch::leaving::{Notice, Report};
 use dunlinward_dispatch::registry::Change;
 use dunlinward_dispatch::report::Content;
 use dunlinward_dispatch::target::Target;
@@ -27,7 +27,7 @@
     let now = node.now();
     let (new, change) = {
         let mut state = node.state.borrow_mut();
-        state.registry.says_leaving(target.tag(), now)
+        state.registry.record_leaving(target.tag(), now)
     };
     if !new {
         return;
@@ -41,7 +41,7 @@
     let line = node.journal.line("leaving_told");
     let line = line.with("target", target.id.as_ref());
     drop(line.with("owner", owner.to_string()));
-    let word = [Word {
+    let word = [Notice {
         tag: target.tag(),
         age: Duration::ZERO,
     }];
@@ -52,15 +52,15 @@
 }
 
 /// Another router tells of targets that have said so.
-pub(crate) fn hear(node: &Node, words: &[Word]) {
+pub(crate) fn hear(node: &Node, words: &[Notice]) {
     let now = node.now();
-    let (new, changes) = node.state.borrow_mut().registry.hear_leaving(words, now);
+    let (new, changes) = node.state.borrow_mut().registry.merge_leaving(words, now);
     carry_out(node, &changes, PEER);
     spread(node, &new);
 }
 
 /// Tells a few others at once what is new here; each that did not know does the same.
-fn spread(node: &Node, new: &[Word]) {
+fn spread(node: &Node, new: &[Notice]) {
     if new.is_empty() {
         return;
     }
@@ -72,7 +72,7 @@
 pub(crate) fn compare(node: &Node, sender: SocketAddr, digest: u64) {
     let own = node.state.borrow().registry.leaving().digest();
     if own != digest && own != 0 {
-        let words = node.state.borrow().registry.leaving().words(node.now());
+        let words = node.state.borrow().registry.leaving().notices(node.now());
         node.send(sender, Content::Leaving(Report::new(words)));
     }
 }
@@ -81,7 +81,7 @@
     let now = node.now();
     for change in changes {
         node.apply_change(change, source, now);
-        if let Change::Leaves(target) = change {
+        if let Change::Leaving(target) = change {
             node.metrics.add("targets_leaving", source, 1);
             node.pool.close(target.tag());
         }
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -31,7 +31,7 @@
 use dunlinward_dispatch::returns::Returns;
 use dunlinward_dispatch::round_trip::RoundTrips;
 use dunlinward_dispatch::share::{self, Shares};
-use dunlinward_dispatch::store::{Era, Position, Sight};
+use dunlinward_dispatch::store::{Era, Observation, Position};
 use dunlinward_dispatch::target::{Tag, Target};
 use dunlinward_dispatch::tries::Tries;
 use dunlinward_dispatch::usage::{Peer, Usage};
@@ -294,9 +294,9 @@
             unreadable: list.unreadable,
         };
         let changes = if list.settled {
-            self.registry.take_settled(listing, list.as_of)
+            self.registry.apply_settled_list(listing, list.as_of)
         } else {
-            self.registry.take(listing, list.as_of)
+            self.registry.apply_list(listing, list.as_of)
         };
         if self.registry.read_at() == Some(list.as_of) {
             self.registry_position = list.position;
@@ -321,7 +321,7 @@
         self.registry_reads.record(as_of);
         self.registry_position = Some(end);
         let written = delta.written.clone();
-        let changes = self.registry.take_delta(delta, as_of);
+        let changes = self.registry.apply_delta(delta, as_of);
         self.cold.renew(&written, as_of);
         Some(changes)
     }
@@ -335,16 +335,18 @@
         self.registry_reads.adopt(told.reading, as_of);
         self.registry_position = told.position;
         let written = told.delta.written.clone();
-        let changes = self.registry.take_told(told.delta, told.settled, as_of);
+        let changes = self
+            .registry
+            .apply_peer_delta(told.delta, told.settled, as_of);
         self.cold.renew(&written, as_of);
         changes
     }
 
     /// The store, or a peer, names an era.
-    pub(crate) fn see_era(&mut self, era: u64, now: Duration) -> Sight {
-        let sight = self.store.see(era, now);
-        if sight == Sight::Restored {
-            self.registry.restored(now);
+    pub(crate) fn see_era(&mut self, era: u64, now: Duration) -> Observation {
+        let sight = self.store.observe(era, now);
+        if sight == Observation::Restored {
+            self.registry.record_restore(now);
         }
         sight
     }
@@ -361,7 +363,7 @@
             let evacuation::Change::Reopened(domain) = change else {
                 continue;
             };
-            for tag in cold::of_domain(self.registry.all(), domain) {
+            for tag in cold::of_domain(self.registry.targets(), domain) {
                 self.cold.doubt(tag, now);
             }
         }
@@ -390,7 +392,7 @@
         if outcome == Outcome::Good {
             self.backoffs.note_running(target.tag(), now);
         }
-        let targets = self.registry.of(&target.service);
+        let targets = self.registry.targets_of_service(&target.service);
         note(&mut self.health, targets, target, outcome, now)
     }
 
@@ -409,13 +411,13 @@
         now: Duration,
     ) -> bool {
         let cell = self.registry.cell_of(target);
-        let targets = self.registry.of_cell(cell);
+        let targets = self.registry.targets_of_cell(cell);
         note(&mut self.reported, targets, target, outcome, now)
     }
 
     /// Targets of a cell that this router leaves alone.
     pub(crate) fn avoided(&self, cell: Cell, now: Duration) -> Vec<Tag> {
-        let targets = self.registry.of_cell(cell);
+        let targets = self.registry.targets_of_cell(cell);
         let tags = targets.iter().map(|it| it.tag());
         tags.filter(|it| self.health.ejected(*it, now)).collect()
     }
--- a/crates/path/src/state/barred.rs
+++ b/crates/path/src/state/barred.rs
@@ -82,7 +82,7 @@
 
     /// Whether a target's failure domain is evacuated.
     pub(crate) fn evacuated(&self, target: &Target) -> bool {
-        self.evacuations.evacuated(&target.domain)
+        self.evacuations.is_evacuated(&target.domain)
     }
 
     /// Whether a target may get work of any router, as far as lists, operators and it itself say.
@@ -105,7 +105,7 @@
     }
 
     fn first_opening(&self, cell: Cell, closed: impl Fn(Tag) -> Option<Duration>) -> Opening {
-        let targets = self.registry.of_cell(cell);
+        let targets = self.registry.targets_of_cell(cell);
         if targets.is_empty() {
             // None is known yet, or none any more.
             return Opening::Now;
@@ -125,7 +125,7 @@
 
     /// Targets of a cell that want nothing of this router for now.
     pub(crate) fn backed_off(&self, cell: Cell, now: Duration) -> Vec<Tag> {
-        let targets = self.registry.of_cell(cell).iter();
+        let targets = self.registry.targets_of_cell(cell).iter();
         let tags = targets.map(|it| it.tag());
         tags.filter(|it| self.backoffs.named_until(self.peer, *it, now).is_some())
             .collect()
--- a/crates/path/src/state/tests/refusing.rs
+++ b/crates/path/src/state/tests/refusing.rs
@@ -166,14 +166,14 @@
     };
     let own = Peer(7);
     let mut state = State::new(&settings, own);
-    state.registry.take(targets(), START);
+    state.registry.apply_list(targets(), START);
     let home_of = |state: &State, at| state.home("pool", Prefix(1), Constraint::ANY, at).unwrap();
     let home = home_of(&state, START);
     assert_eq!(state.opening(home, START), Opening::Now);
     let named = Some(FIRST_PAUSE);
     let closed: Vec<_> = state
         .registry
-        .of_cell(home)
+        .targets_of_cell(home)
         .iter()
         .map(|it| it.tag())
         .collect();
@@ -187,7 +187,7 @@
     assert_eq!(state.opening(other, START), Opening::Now);
     assert_eq!(home_of(&state, START + FIRST_PAUSE), home);
     for target in targets() {
-        state.registry.says_leaving(target.tag(), START);
+        state.registry.record_leaving(target.tag(), START);
     }
     assert_eq!(home_of(&state, START), home);
     assert_eq!(state.opening(home, START), Opening::Never);
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -120,8 +120,8 @@
     /// The line on a change of the list of targets.
     fn tell_change(&self, change: &Change, source: &str, as_of: Duration) {
         let (event, target) = match change {
-            Change::Came(target) => ("target_came", target),
-            Change::Leaves(target) => ("target_leaves", target),
+            Change::Added(target) => ("target_came", target),
+            Change::Leaving(target) => ("target_leaves", target),
             Change::Suspended(target) => ("target_suspended", target),
             Change::Ended(target) => ("target_ended", target),
         };
@@ -160,13 +160,13 @@
     #[must_use]
     pub fn knows_target(&self, id: &str) -> bool {
         let state = self.state.borrow();
-        state.registry.all().any(|it| it.id.as_ref() == id)
+        state.registry.targets().any(|it| it.id.as_ref() == id)
     }
 
     /// How many targets are known.
     #[must_use]
     pub fn targets_known(&self) -> usize {
-        self.state.borrow().registry.all().count()
+        self.state.borrow().registry.targets().count()
     }
 
     /// When the list of targets was true, its own or confirmed by a peer.
@@ -199,7 +199,10 @@
 
     /// Another target has this one's address.
     pub fn replaced(&self, target: &Target) {
-        self.state.borrow_mut().registry.forget(target.tag());
+        self.state
+            .borrow_mut()
+            .registry
+            .remove_replaced(target.tag());
         cut::ended(self, target);
         self.forget(target.tag());
         let line = self.journal.line("target_replaced");
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -14,7 +14,7 @@
 use dunlinward_dispatch::evacuation::Order;
 use dunlinward_dispatch::quarantine::Entry;
 use dunlinward_dispatch::reading::Reading;
-use dunlinward_dispatch::registry::{Difference, Sums};
+use dunlinward_dispatch::registry::{Checksums, Difference};
 use dunlinward_dispatch::store::Position;
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -64,15 +64,15 @@
 struct Question {
     wanted: Wanted,
     /// The list of targets that it has, if it asks for another.
-    targets: Sums,
+    targets: Checksums,
 }
 
 impl Question {
     fn new(node: &Node, wanted: Wanted) -> Self {
         let targets = if wanted.has(Part::Targets) {
-            node.state.borrow().registry.sums()
+            node.state.borrow().registry.checksums()
         } else {
-            Sums::default()
+            Checksums::default()
         };
         Self { wanted, targets }
     }
@@ -201,7 +201,7 @@
         let Some(as_of) = heard else {
             return;
         };
-        let delta = node.state.borrow().registry.delta_of(targets.difference);
+        let delta = node.state.borrow().registry.delta_from(targets.difference);
         let Some(delta) = delta else {
             // It is asked for again with the next greeting that tells of it.
             node.metrics.add("views_not_merged", "targets", 1);
@@ -258,7 +258,7 @@
     let reading = state.registry_reads.report(now);
     let reading = reading.filter(|_| wanted.has(Part::Targets));
     let targets = reading.map(|read| Targets {
-        difference: state.registry.differing(&question.targets),
+        difference: state.registry.difference_from(&question.targets),
         read,
         position: state.registry_position,
         settled: state.registry.settled(),
