--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -1,24 +1,27 @@
-//! Contents under which targets end.
+//! Quarantine of request contents that terminate the targets on which they run.
 //!
-//! A target that ends takes all its runs with it, most of them innocent, and a content that ends
-//! each target which runs it looks like them. What tells it apart is that it never ends well: so
-//! each content is charged with the targets that ended while they ran it since it was last
-//! answered. An answer clears it. From [`SUSPECT`] of them on it is kept away from others like
-//! it, so that the next end has one cause; at [`QUARANTINED`] it is not sent any more, for a time
-//! that grows if the trial after it ends a target again.
+//! A target that terminates fails all its runs, most of which have not caused the termination, so
+//! a single termination does not identify the cause. A content that causes terminations never
+//! completes, though. So the ledger counts for each content the targets that terminated while they
+//! ran it since its last answer; an answer clears it. With [`SUSPECT`] of them or more, the content
+//! is kept away from other suspects, so that the next termination has only one possible cause. With
+//! [`QUARANTINED`] it is not sent for a hold time, which grows with each trial after a hold that
+//! terminates a target again.
 //!
-//! An end has one cause: those that a quarantined content was there for are held against no other.
-//! So who ran beside it is free again, and what is counted of the others is what nobody explains yet.
+//! Each termination has one cause. Terminations that count against a quarantined content are not
+//! counted against any other content, so contents that ran beside it are released, and the other
+//! counts contain only terminations that are still unexplained.
 //!
-//! A run that broke off or fell silent is no evidence yet: a link may have been cut, or a target
-//! may fail some requests. It is *open* until its target is found to have ended or to be alive;
-//! meanwhile it counts as an end, so that what has fallen silent at three targets is not sent to a
-//! fourth before their fate is known.
+//! A run whose connection was closed or timed out is no evidence by itself: a link may have failed,
+//! or a target may fail single requests. Such a run is *open* until its target is found to have
+//! terminated or to be alive. An open run counts as a termination, so that a content whose runs at
+//! three targets got no answer is not sent to a fourth one before the state of these targets is
+//! known.
 //!
-//! The router that owns a content's cell hears of all its runs and decides; what is worth more
-//! than one end is told to all routers, who come to the same [`Ledger::digest`]: records of the
-//! same content are joined, and one that was cleared or lifted since wins over what was known
-//! before.
+//! The router that owns a content's cell receives the findings about all its runs and decides.
+//! Records with more than one termination are shared with all routers, which converge to the same
+//! [`Ledger::digest`]: records of the same content are merged, and a record that was cleared or
+//! lifted more often replaces one that was cleared less often.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeSet, HashMap, HashSet};
@@ -30,99 +33,101 @@
 use crate::content::{ContentTag, Digest};
 use crate::target::Tag;
 
-/// Ends from which a content is kept away from others like it. With one, all that ran beside
-/// the cause of an end would be, up to a full batch.
+/// Terminations at which a content is kept away from other suspects. With one, all contents that
+/// ran beside the cause would be suspects, up to a full batch.
 pub const SUSPECT: usize = 2;
 
-/// Ends from which a content is not sent any more. With crashes of 15 in 100 targets in a minute a
-/// target ends by itself during one run of 4 s in a hundred, so three in a row without an answer
-/// between them come once in a million requests (computed; none in 144,000 under virtual time).
+/// Terminations at which a content is quarantined. If 15 of 100 targets crash per minute, a target
+/// crashes during one in 100 runs of 4 s, so three in a row without an answer in between happen by
+/// chance to one request in a million (to none of 144,000 under virtual time).
 pub const QUARANTINED: usize = 3;
 
-/// Time within which an open run's target must be found to have ended: entries lapse three
-/// heartbeats of 1.2 s after a target fell silent, and lists are read every second.
+/// Time limit for finding an open run's target terminated: entries lapse three heartbeats of 1.2 s
+/// after a target's last one, and the list of targets is read every second.
 pub const OPEN: Duration = Duration::from_secs(6);
 
-/// How long a content is first quarantined; the next version of a model may cure it.
+/// First hold time of a quarantined content. Holds end because a new version of a model may run it.
 pub const HOLD: Duration = Duration::from_hours(1);
 
-/// How many times longer it is held after each trial that ended a target: at most two trials in a day.
-const HOLD_GROWS: u32 = 8;
+/// Factor by which the hold time grows with each trial that terminated a target: at most two trials
+/// per day.
+const HOLD_FACTOR: u32 = 8;
 
-/// Holds that grow: more than the second is beyond a day.
-const HOLDS: u32 = 3;
+/// Limit of the exponent of [`HOLD_FACTOR`]; all holds after the second are longer than a day.
+const MAX_HOLD_EXPONENT: u32 = 3;
 
-/// How long a quarantine is remembered once its time is over, for whoever comes then.
-const REMEMBERED: Duration = Duration::from_hours(24);
+/// Retention of a quarantined content after its hold, so that its next run is treated as a trial.
+const HOLD_RETENTION: Duration = Duration::from_hours(24);
 
-/// How long ends that have not led to a quarantine are remembered.
-const KEPT: Duration = Duration::from_hours(1);
+/// Retention of terminations that have not led to a quarantine.
+const ENDS_RETENTION: Duration = Duration::from_hours(1);
 
-/// How long it is told to routers that a content was cleared: far longer than a router is cut off
-/// as a rule; one that was for longer brings back what is then cleared by the next answer.
-const CLEARED_TOLD: Duration = Duration::from_mins(10);
+/// Time for which the clearing of a content is shared, far longer than usual partitions. A router
+/// partitioned for longer brings the old record back, until the next answer clears it.
+const CLEARED_RETENTION: Duration = Duration::from_mins(10);
 
-/// Records at the most, some 150 bytes each: 1.2 MB, whatever callers send.
-const MOST: usize = 8_192;
+/// Limit of records. At some 150 bytes each, they take at most 1.2 MB whatever callers send.
+const MAX_RECORDS: usize = 8_192;
 
-/// What became of the target of a run that did not end with an answer.
+/// State of the target of a run that ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fate {
     /// Not known yet.
     Open,
-    /// It has ended.
+    /// The target has terminated.
     Ended,
-    /// It runs: the run failed for another reason.
+    /// The target is alive: the run failed for another reason.
     Alive,
 }
 
-/// What a router knows of a run that did not end with an answer.
+/// A router's finding about a run that ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
-    /// What was run.
+    /// Content of the run.
     pub content: Digest,
-    /// The target.
+    /// Target of the run.
     pub target: Tag,
-    /// What became of it.
+    /// State of the target.
     pub fate: Fate,
 }
 
-/// What may be done with a content.
+/// Restrictions on sending a content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Nothing is known against it, or what anyone beside a cause is charged with.
+    /// None: too few terminations to be a suspect.
     Free,
-    /// It is kept away from other suspects.
+    /// Not sent to a target that runs another suspect.
     Suspect,
-    /// It is not sent now: open runs of it may have ended three targets.
+    /// Not sent until open runs are resolved: with these, three or more targets may have terminated
+    /// under it, or a trial is running.
     Held,
-    /// It is not sent for so long.
+    /// Not sent for the remaining time.
     Quarantined(Duration),
 }
 
-/// What is told of a content.
+/// Shared record of a content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// The content.
     pub content: Digest,
-    /// How often it was cleared or lifted.
+    /// Number of times that it was cleared or lifted.
     pub generation: u32,
-    /// Targets that ended under it since then.
+    /// Targets that terminated under it since it was last cleared.
     pub ends: BTreeSet<Tag>,
-    /// Whether it is, or was, quarantined for them.
+    /// Whether it is or was quarantined because of these.
     pub guilty: bool,
-    /// How long ago the last of these was found, or the clearing.
+    /// Time since the last termination was found, or since it was cleared.
     pub age: Duration,
 }
 
-/// A step in what is known of a content, for the log.
+/// Change of a content's record, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// One more target ended under it: so many by now.
+    /// Another target terminated under it; holds their number.
     Charged(usize),
-    /// It is no longer sent.
+    /// It is quarantined; holds the number of targets that terminated under it.
     Quarantined(usize),
-    /// It was answered, or lifted.
+    /// It was answered, or an operator lifted its quarantine.
     Cleared,
 }
 
@@ -132,12 +137,12 @@
     generation: u32,
     ends: BTreeSet<Tag>,
     open: Vec<(Tag, Duration)>,
-    /// When the last end was found, or the clearing.
+    /// When the last termination was found, or when it was cleared.
     changed: Duration,
-    /// Whether it is, or was, quarantined for its ends: they explain nobody else's.
+    /// Whether it is or was quarantined for its terminations, which then count against it alone.
     guilty: bool,
-    /// Whether it is told to all routers.
-    told: bool,
+    /// Whether it is shared with all routers.
+    shared: bool,
 }
 
 impl Record {
@@ -149,18 +154,21 @@
             open: Vec::new(),
             changed: now,
             guilty: false,
-            told: false,
+            shared: false,
         }
     }
 
     fn held_until(&self) -> Duration {
         let trials = self.ends.len().saturating_sub(QUARANTINED);
-        let trials = u32::try_from(trials).unwrap_or(HOLDS).min(HOLDS);
-        self.changed + HOLD.saturating_mul(HOLD_GROWS.pow(trials))
+        let trials = u32::try_from(trials)
+            .unwrap_or(MAX_HOLD_EXPONENT)
+            .min(MAX_HOLD_EXPONENT);
+        self.changed + HOLD.saturating_mul(HOLD_FACTOR.pow(trials))
     }
 
-    /// Ends that are held against it.
-    fn held_against(&self, explained: &HashSet<Tag>) -> usize {
+    /// Number of terminations that count against it: all if it is or was quarantined, otherwise
+    /// those that no quarantined content explains.
+    fn counted_ends(&self, explained: &HashSet<Tag>) -> usize {
         if self.guilty {
             return self.ends.len();
         }
@@ -169,7 +177,7 @@
     }
 
     fn standing(&self, explained: &HashSet<Tag>, now: Duration) -> Standing {
-        let ends = self.held_against(explained);
+        let ends = self.counted_ends(explained);
         let open = self.open.iter();
         let open = open.filter(|(tag, at)| *at + OPEN > now && !self.ends.contains(tag));
         let open = open.count();
@@ -177,7 +185,7 @@
             let left = self.held_until().saturating_sub(now);
             return match (left.is_zero(), open) {
                 (false, _) => Standing::Quarantined(left),
-                // A trial: one end more is known only when its run is no longer open.
+                // During a trial, whether its target terminated is known once its run is not open.
                 (true, 0) => Standing::Suspect,
                 (true, _) => Standing::Held,
             };
@@ -189,21 +197,21 @@
         }
     }
 
-    /// Until when it is worth remembering.
-    fn kept_until(&self) -> Duration {
+    /// End of its retention.
+    fn retained_until(&self) -> Duration {
         if self.guilty {
-            return self.held_until() + REMEMBERED;
+            return self.held_until() + HOLD_RETENTION;
         }
         if self.ends.is_empty() {
             let open = self.open.iter().map(|(_, at)| *at + OPEN).max();
-            let told = self.told.then_some(self.changed + CLEARED_TOLD);
-            return open.max(told).unwrap_or_default();
+            let cleared = self.shared.then_some(self.changed + CLEARED_RETENTION);
+            return open.max(cleared).unwrap_or_default();
         }
-        self.changed + KEPT
+        self.changed + ENDS_RETENTION
     }
 
-    /// Sum of what all routers are told of it.
-    fn sum(&self) -> u64 {
+    /// Hash of its shared fields but the age, which differs between routers.
+    fn hash(&self) -> u64 {
         let mut bytes = Vec::new();
         bytes.extend(self.content.0.to_le_bytes());
         bytes.extend(self.generation.to_le_bytes());
@@ -215,24 +223,24 @@
     }
 }
 
-/// What is known of contents under which targets ended.
+/// Records of contents under which targets terminated.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     records: HashMap<ContentTag, Record>,
-    /// Targets whose end a guilty content explains.
+    /// Targets whose termination is explained by a content that is or was quarantined.
     explained: HashSet<Tag>,
-    /// Sum of what all routers are told.
+    /// Digest of the shared records.
     digest: u64,
 }
 
 impl Ledger {
-    /// Nothing known.
+    /// Creates an empty ledger.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// What may be done with a content now.
+    /// Restrictions on sending a content now.
     #[must_use]
     pub fn standing(&self, content: Digest, now: Duration) -> Standing {
         let record = self.records.get(&content.tag());
@@ -240,14 +248,14 @@
         record.map_or(Standing::Free, |it| it.standing(&self.explained, now))
     }
 
-    /// The same, of the only content that is known by so short a name.
+    /// Restrictions on sending the content that is recorded under a tag.
     #[must_use]
     pub fn standing_of(&self, tag: ContentTag, now: Duration) -> Standing {
         let record = self.records.get(&tag);
         record.map_or(Standing::Free, |it| it.standing(&self.explained, now))
     }
 
-    /// Takes what a router has found of a run.
+    /// Applies a router's finding.
     pub fn take(&mut self, finding: Finding, now: Duration) -> Option<Change> {
         let Finding {
             content,
@@ -259,7 +267,7 @@
             record.open.retain(|(tag, _)| *tag != target);
             return None;
         }
-        let record = self.record(content, now)?;
+        let record = self.record_mut(content, now)?;
         if record.ends.contains(&target) {
             return None;
         }
@@ -273,26 +281,26 @@
         record.open.retain(|(tag, _)| *tag != target);
         record.ends.insert(target);
         record.changed = now;
-        let change = self.judge(content.tag());
+        let change = self.evaluate(content.tag());
         if change != Some(Change::Charged(1)) {
-            self.sum();
+            self.refresh();
         }
         change
     }
 
-    /// Judges a content by its ends, now that there is one more.
-    fn judge(&mut self, tag: ContentTag) -> Option<Change> {
+    /// Updates a content's flags after its terminations have changed.
+    fn evaluate(&mut self, tag: ContentTag) -> Option<Change> {
         let record = self.records.get_mut(&tag)?;
-        let ends = record.held_against(&self.explained);
+        let ends = record.counted_ends(&self.explained);
         record.guilty |= ends >= QUARANTINED;
-        record.told |= ends >= SUSPECT;
+        record.shared |= ends >= SUSPECT;
         if record.guilty {
             return Some(Change::Quarantined(record.ends.len()));
         }
         Some(Change::Charged(ends))
     }
 
-    /// The content ended well: it is not what ends targets.
+    /// Records an answer, which clears a content: it does not terminate its targets.
     pub fn answered(&mut self, tag: ContentTag, now: Duration) -> Option<Change> {
         let record = self.records.get_mut(&tag)?;
         record.open.clear();
@@ -303,24 +311,24 @@
         record.guilty = false;
         record.generation += 1;
         record.changed = now;
-        if record.told {
-            self.sum();
+        if record.shared {
+            self.refresh();
         } else {
             self.records.remove(&tag);
         }
         Some(Change::Cleared)
     }
 
-    /// The content that is known by a short name.
+    /// The content that is recorded under a tag.
     #[must_use]
     pub fn content(&self, tag: ContentTag) -> Option<Digest> {
         self.records.get(&tag).map(|it| it.content)
     }
 
-    /// Joins what another router or the store tells.
+    /// Merges an entry of another router or of the store.
     pub fn join(&mut self, entry: &Entry, now: Duration) -> Option<Change> {
         let changed = now.saturating_sub(entry.age);
-        let record = self.record(entry.content, changed)?;
+        let record = self.record_mut(entry.content, changed)?;
         let before = (record.guilty, record.ends.len());
         if entry.generation < record.generation {
             return None;
@@ -337,8 +345,8 @@
             record.changed = record.changed.max(changed);
         }
         record.guilty |= entry.guilty;
-        record.told = true;
-        if record.kept_until() <= now {
+        record.shared = true;
+        if record.retained_until() <= now {
             self.records.remove(&entry.content.tag());
         }
         let after = self.records.get(&entry.content.tag());
@@ -346,15 +354,15 @@
         let change = match after.cmp(&before) {
             Ordering::Less => Some(Change::Cleared),
             Ordering::Equal => None,
-            Ordering::Greater => self.judge(entry.content.tag()),
+            Ordering::Greater => self.evaluate(entry.content.tag()),
         };
-        self.sum();
+        self.refresh();
         change
     }
 
-    /// What all routers are told.
+    /// Entries that are shared with all routers.
     pub fn entries(&self, now: Duration) -> impl Iterator<Item = Entry> {
-        self.told().map(move |it| Entry {
+        self.shared().map(move |it| Entry {
             content: it.content,
             generation: it.generation,
             ends: it.ends.clone(),
@@ -363,39 +371,39 @@
         })
     }
 
-    /// What the store is to be told so that it keeps what is known here; `stored` is what it keeps.
-    /// A store that came back from a copy may lack a quarantine, or keep one that was ended.
+    /// Entries to be written to the store, which holds `stored`: quarantines and clearings that it
+    /// lacks. After it was restored from a backup, it may lack a quarantine or hold a cleared one.
     #[must_use]
     pub fn unkept(&self, stored: &[Entry], now: Duration) -> Vec<Entry> {
-        let kept = |own: &Entry| stored.iter().find(|it| it.content == own.content);
-        let unkept = self.entries(now).filter(|own| match kept(own) {
+        let found = |own: &Entry| stored.iter().find(|it| it.content == own.content);
+        let missing = self.entries(now).filter(|own| match found(own) {
             None => own.guilty,
-            Some(kept) => {
-                let earlier = kept.generation < own.generation;
-                earlier || own.guilty && !own.ends.is_subset(&kept.ends)
+            Some(found) => {
+                let earlier = found.generation < own.generation;
+                earlier || own.guilty && !own.ends.is_subset(&found.ends)
             }
         });
-        unkept.collect()
+        missing.collect()
     }
 
-    fn told(&self) -> impl Iterator<Item = &Record> {
-        self.records.values().filter(|it| it.told)
+    fn shared(&self) -> impl Iterator<Item = &Record> {
+        self.records.values().filter(|it| it.shared)
     }
 
-    /// A short sum of what all routers are told; 0 if that is nothing.
+    /// Digest of the shared records; 0 if there are none.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Brings up to date what follows from all records.
-    fn sum(&mut self) {
+    /// Recomputes the explained terminations and the digest.
+    fn refresh(&mut self) {
         let guilty = self.records.values().filter(|it| it.guilty);
         self.explained = guilty.flat_map(|it| it.ends.iter().copied()).collect();
-        self.digest = self.told().fold(0, |sum, it| sum ^ it.sum());
+        self.digest = self.shared().fold(0, |sum, it| sum ^ it.hash());
     }
 
-    /// Contents that are not sent now.
+    /// Number of contents that are quarantined now.
     #[must_use]
     pub fn quarantined(&self, now: Duration) -> usize {
         let records = self.records.values();
@@ -405,40 +413,41 @@
             .count()
     }
 
-    /// Forgets what is too old.
+    /// Removes records whose retention is over.
     pub fn prune(&mut self, now: Duration) {
-        let mut told = false;
+        let mut removed_shared = false;
         self.records.retain(|_, it| {
-            let kept = it.kept_until() > now;
-            told |= it.told && !kept;
+            let kept = it.retained_until() > now;
+            removed_shared |= it.shared && !kept;
             kept
         });
-        if told {
-            self.sum();
+        if removed_shared {
+            self.refresh();
         }
     }
 
-    /// The record of a content; none if another content has its short name.
-    fn record(&mut self, content: Digest, now: Duration) -> Option<&mut Record> {
-        if self.records.len() >= MOST && !self.records.contains_key(&content.tag()) {
-            self.make_room(now);
+    /// The record of a content, created if needed; `None` if another content has the same tag.
+    fn record_mut(&mut self, content: Digest, now: Duration) -> Option<&mut Record> {
+        if self.records.len() >= MAX_RECORDS && !self.records.contains_key(&content.tag()) {
+            self.evict(now);
         }
         let record = self.records.entry(content.tag());
         let record = record.or_insert_with(|| Record::new(content, now));
         (record.content == content).then_some(record)
     }
 
-    /// Forgets the record with the fewest ends, and of these the oldest.
-    fn make_room(&mut self, now: Duration) {
+    /// Removes outdated records and, if all are current, the one with the fewest terminations, of
+    /// these the oldest.
+    fn evict(&mut self, now: Duration) {
         self.prune(now);
-        if self.records.len() < MOST {
+        if self.records.len() < MAX_RECORDS {
             return;
         }
         let least = self.records.iter();
         let least = least.min_by_key(|(tag, it)| (it.ends.len(), it.changed, **tag));
         if let Some(tag) = least.map(|(tag, _)| *tag) {
             self.records.remove(&tag);
-            self.sum();
+            self.refresh();
         }
     }
 }
