--- a/crates/dispatch/src/cuts.rs
+++ b/crates/dispatch/src/cuts.rs
@@ -1,4 +1,4 @@
-//! Runs of this router that did not end with an answer, until the fate of their targets is known.
+//! Runs of this router that ended without an answer, until the state of their targets is known.
 
 use std::time::Duration;
 
@@ -7,31 +7,31 @@
 use crate::quarantine::{Fate, Finding, OPEN};
 use crate::target::Tag;
 
-/// Times that a finding is told to whoever owns its content: a datagram may be lost.
-const TELLINGS: u32 = 3;
+/// Times that a finding is sent to the owner of its content, as datagrams may be lost.
+const MAX_SENDS: u32 = 3;
 
-/// Runs remembered at the most: those of eight full batches of 128.
-const MOST: usize = 1_024;
+/// Limit of recorded runs: eight full batches of 128.
+const MAX_RUNS: usize = 1_024;
 
 #[derive(Clone, Copy, Debug)]
-struct Cut {
+struct Run {
     finding: Finding,
     cell: Cell,
     at: Duration,
-    told: u32,
+    sends: u32,
 }
 
-/// A finding, and the cell whose owner is to be told.
+/// A finding, and the cell to whose owner it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Telling {
     /// The cell of the target.
     pub cell: Cell,
-    /// What is known.
+    /// The finding.
     pub finding: Finding,
 }
 
-impl Cut {
-    fn tell(&self) -> Telling {
+impl Run {
+    fn report(&self) -> Telling {
         Telling {
             cell: self.cell,
             finding: self.finding,
@@ -39,69 +39,71 @@
     }
 }
 
-/// Runs that did not end with an answer.
+/// Runs that ended without an answer.
 #[derive(Clone, Debug, Default)]
 pub struct Cuts {
-    cuts: Vec<Cut>,
+    runs: Vec<Run>,
 }
 
 impl Cuts {
-    /// None yet.
+    /// Creates an empty record.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A run broke off or was given up; what is to be told of it now.
+    /// Records a run that broke off or was given up; returns its finding, to be sent now.
     pub fn note(&mut self, content: Digest, target: Tag, cell: Cell, now: Duration) -> Telling {
-        if self.cuts.len() >= MOST {
-            self.cuts.remove(0);
+        if self.runs.len() >= MAX_RUNS {
+            self.runs.remove(0);
         }
         let finding = Finding {
             content,
             target,
             fate: Fate::Open,
         };
-        let cut = Cut {
+        let run = Run {
             finding,
             cell,
             at: now,
-            told: 1,
+            sends: 1,
         };
-        self.cuts.push(cut);
-        cut.tell()
+        self.runs.push(run);
+        run.report()
     }
 
-    /// Whether the fate of a target is asked for.
+    /// Whether a target has runs that are still open.
     #[must_use]
     pub fn open(&self, target: Tag) -> bool {
-        let mut cuts = self.cuts.iter();
-        cuts.any(|it| it.finding.target == target && it.finding.fate == Fate::Open)
+        let mut runs = self.runs.iter();
+        runs.any(|it| it.finding.target == target && it.finding.fate == Fate::Open)
     }
 
-    /// The fate of a target is known: what is to be told of its runs now.
+    /// Resolves the open runs of a target whose state is known; returns the findings to be sent
+    /// now.
     pub fn settle(&mut self, target: Tag, fate: Fate) -> Vec<Telling> {
-        let open = self.cuts.iter_mut();
+        let open = self.runs.iter_mut();
         let open = open.filter(|it| it.finding.target == target && it.finding.fate == Fate::Open);
-        let settled = open.map(|it| {
+        let resolved = open.map(|it| {
             it.finding.fate = fate;
-            it.told = 1;
-            it.tell()
+            it.sends = 1;
+            it.report()
         });
-        settled.collect()
+        resolved.collect()
     }
 
-    /// What is to be told once more; forgets what was told often enough or stays open.
+    /// Findings to be sent once more. Removes those that were sent [`MAX_SENDS`] times, unless they
+    /// are open and within [`OPEN`].
     pub fn again(&mut self, now: Duration) -> Vec<Telling> {
-        self.cuts.retain(|it| {
+        self.runs.retain(|it| {
             let open = it.finding.fate == Fate::Open && it.at + OPEN > now;
-            open || it.told < TELLINGS
+            open || it.sends < MAX_SENDS
         });
-        let again = self.cuts.iter_mut().filter(|it| it.told < TELLINGS);
-        let again = again.map(|it| {
-            it.told += 1;
-            it.tell()
+        let due = self.runs.iter_mut().filter(|it| it.sends < MAX_SENDS);
+        let due = due.map(|it| {
+            it.sends += 1;
+            it.report()
         });
-        again.collect()
+        due.collect()
     }
 }
