--- a/crates/dispatch/src/copies.rs
+++ b/crates/dispatch/src/copies.rs
@@ -1,8 +1,8 @@
-//! Runs of the same content at the same time.
+//! Contents in flight: concurrent runs of the same content.
 //!
-//! Until a content has been answered, all that run it at one time run at one target while that has
-//! room: if it ends targets, it ends one before the next one is at risk, at however many routers it
-//! is asked. Contents that were answered lately run anywhere.
+//! Until a content has been answered, its concurrent runs are all placed on one target while that
+//! has room. So a content that terminates targets terminates one before the next one is at risk,
+//! however many routers receive requests for it. Contents with a recent answer run on any target.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -10,110 +10,111 @@
 use crate::content::{ContentTag, Digest};
 use crate::target::Tag;
 
-/// How long a run is remembered whose end nobody told: longer than callers wait (15 s).
-const LONGEST: Duration = Duration::from_secs(20);
+/// Retention of a run whose end was not reported: longer than callers wait (15 s).
+const RUN_RETENTION: Duration = Duration::from_secs(20);
 
-/// Contents that are remembered as answered, 60 bytes each: 0.25 MB.
-const ANSWERED_MOST: usize = 4_096;
+/// Limit of contents recorded as answered, at 60 bytes each: 0.25 MB.
+const MAX_ANSWERED: usize = 4_096;
 
 #[derive(Clone, Copy, Debug)]
-struct Copy {
+struct Runs {
     target: Tag,
     count: u32,
     at: Duration,
 }
 
-/// Where contents run now.
+/// Contents in flight and the target of each.
 #[derive(Clone, Debug, Default)]
 pub struct Copies {
-    running: HashMap<ContentTag, Copy>,
+    running: HashMap<ContentTag, Runs>,
 }
 
 impl Copies {
-    /// Nothing runs.
+    /// Creates an empty table.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A content is sent to a target.
+    /// Records that a content is sent to a target, which replaces any other target of it.
     pub fn begin(&mut self, content: ContentTag, target: Tag, now: Duration) {
-        let none = Copy {
+        let none = Runs {
             target,
             count: 0,
             at: now,
         };
-        let copy = self.running.entry(content).or_insert(none);
-        if copy.target != target {
-            *copy = none;
+        let runs = self.running.entry(content).or_insert(none);
+        if runs.target != target {
+            *runs = none;
         }
-        copy.count += 1;
-        copy.at = now;
+        runs.count += 1;
+        runs.at = now;
     }
 
-    /// A run of it has ended, however it did.
+    /// Records the end of a run, with or without an answer.
     pub fn end(&mut self, content: ContentTag, target: Tag) {
-        let Some(copy) = self.running.get_mut(&content) else {
+        let Some(runs) = self.running.get_mut(&content) else {
             return;
         };
-        if copy.target != target {
+        if runs.target != target {
             return;
         }
-        copy.count = copy.count.saturating_sub(1);
-        if copy.count == 0 {
+        runs.count = runs.count.saturating_sub(1);
+        if runs.count == 0 {
             self.running.remove(&content);
         }
     }
 
-    /// Where a content runs.
+    /// The target that runs a content.
     #[must_use]
     pub fn target(&self, content: ContentTag) -> Option<Tag> {
         self.running.get(&content).map(|it| it.target)
     }
 
-    /// Contents that run at a target.
+    /// Contents that run on a target.
     pub fn at(&self, target: Tag) -> impl Iterator<Item = ContentTag> {
         let running = self.running.iter();
         let there = running.filter(move |(_, it)| it.target == target);
         there.map(|(content, _)| *content)
     }
 
-    /// Forgets runs whose end was not told.
+    /// Removes contents whose last run began more than [`RUN_RETENTION`] ago.
     pub fn prune(&mut self, now: Duration) {
-        self.running.retain(|_, it| it.at + LONGEST > now);
+        self.running.retain(|_, it| it.at + RUN_RETENTION > now);
     }
 }
 
-/// Contents that were answered lately, at this router.
+/// Contents with a recent answer at this router.
 #[derive(Clone, Debug, Default)]
 pub struct Answered {
-    /// In two halves: when the newer one is full, it takes the place of the older one.
+    /// Half of the contents; replaces `older` when full.
     newer: HashSet<Digest>,
     older: HashSet<Digest>,
 }
 
 impl Answered {
-    /// None yet.
+    /// Creates an empty set.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A content was answered.
+    /// Records an answer to a content.
     pub fn note(&mut self, content: Digest) {
-        if self.newer.len() >= ANSWERED_MOST / 2 {
+        if self.newer.len() >= MAX_ANSWERED / 2 {
             self.older = std::mem::take(&mut self.newer);
         }
         self.newer.insert(content);
     }
 
-    /// A run of it ended with its target, so its answers say nothing any more.
+    /// Removes a content, a run of which ended without an answer: earlier answers prove nothing
+    /// then.
     pub fn forget(&mut self, content: Digest) {
         self.newer.remove(&content);
         self.older.remove(&content);
     }
 
-    /// Whether a content was answered lately.
+    /// Whether a content has a recent answer.
     #[must_use]
     pub fn contains(&self, content: Digest) -> bool {
         self.newer.contains(&content) || self.older.contains(&content)
