--- a/crates/dispatch/src/content.rs
+++ b/crates/dispatch/src/content.rs
@@ -1,38 +1,39 @@
-//! What a request asks, whoever carries it.
+//! Identity of a request's content.
 //!
-//! Each try of a caller has an identity of its own; the content is the same for all of them. It
-//! is known by a digest, so that what is remembered of it is small and says nothing of the body.
+//! Each of a caller's attempts has its own request identity, while the content is the same for all
+//! of them. Contents are identified by a digest, so that records of them are small and reveal
+//! nothing of the body.
 
 use std::fmt::{self, Display, Formatter};
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// Digest of a request's content: 128 bits of SHA-256, in which nobody finds two contents with
-/// the same one. The customer is part of it, so no caller meets another customer's content.
+/// Digest of a request's content: 128 bits of SHA-256, which are collision-resistant. It covers
+/// the customer, so no caller can collide with another customer's content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Digest(pub u128);
 
-/// Where a request goes, for its [`Digest`].
+/// Method, host and path of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Address<'a> {
-    /// The method.
+    /// HTTP method.
     pub method: &'a str,
-    /// The host, without a port.
+    /// Host without port.
     pub host: &'a str,
-    /// Path and query.
+    /// Path with query.
     pub path: &'a str,
 }
 
 impl Digest {
-    /// The digest of what `customer` asks at `address`. What the head says beside that may differ
-    /// between the tries of a caller, such as the time that is left.
+    /// Computes the digest of a request of `customer`. Other parts of the head are left out, as
+    /// they may differ between a caller's attempts, such as the remaining time.
     #[must_use]
     pub fn new(address: Address<'_>, customer: Option<&str>, body: &[u8]) -> Self {
         let customer = customer.unwrap_or_default();
         let mut hash = Sha256::new();
         for field in [address.method, address.host, address.path, customer] {
-            // The length first, so that no two rows of fields give the same bytes.
+            // The length prefix keeps different fields from giving the same bytes.
             hash.update((field.len() as u64).to_be_bytes());
             hash.update(field.as_bytes());
         }
@@ -48,7 +49,7 @@
 }
 
 impl Digest {
-    /// The digest that is written so; none if none is.
+    /// Parses a hexadecimal digest.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         u128::from_str_radix(text, 16).ok().map(Self)
@@ -61,13 +62,13 @@
     }
 }
 
-/// Short name of a content in messages between routers: half of its digest. To meet another
-/// customer's takes 2^64 tries.
+/// Short identifier of a content in messages between routers: half of its digest. To collide with
+/// another customer's content takes 2^64 tries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ContentTag(pub u64);
 
 impl Digest {
-    /// The short name.
+    /// The short identifier.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
