--- a/crates/dispatch/src/backoff.rs
+++ b/crates/dispatch/src/backoff.rs
@@ -1,18 +1,19 @@
-//! Targets that turn requests away, and how they are left alone.
+//! Backoff from targets that refuse requests.
 //!
-//! A target that refuses is free again within a millisecond, so by its load alone it looks the emptiest
-//! of all and would be chosen next. Two things follow from a refusal instead:
+//! A target that refuses a request is free again within a millisecond, so by its load alone it
+//! would look like the emptiest one and be chosen next. A refusal therefore has two consequences:
 //!
-//! - A time that it names binds the router that was refused: that one sends nothing until it is over.
-//!   Times that overlap all hold.
-//! - Whoever places requests there leaves it alone for a *pause*, whichever router was refused and
-//!   whether or not a time was named. A pause is [`FIRST_PAUSE`] and doubles with each refusal of
-//!   what was sent after the one before, up to [`LONGEST_PAUSE`]. A target that has named times to
-//!   two routers is left alone by all until one of these times is over: it refuses everybody.
+//! - A backoff time that the target requests binds the router that was refused: that router sends
+//!   it nothing until the time is over. Where requested times overlap, the latest end holds.
+//! - The router that places requests on the target sends it nothing for a *pause*, whichever router
+//!   was refused and whether or not a time was requested. The first pause is [`FIRST_PAUSE`]. It
+//!   doubles with each refusal of a request sent after the previous pause, up to [`LONGEST_PAUSE`].
+//!   A target that has requested times from two or more routers refuses everybody, so it gets
+//!   nothing from any router until all but one of these times are over.
 //!
-//! After a pause a target is *on trial*: it gets one request in [`TRIAL_INTERVAL`], until it has run one.
-//! So its refusals stay few while it refuses, it is found as soon as it serves again, and routers
-//! whose times end together don't all come back at once.
+//! After a pause a target is *on trial*: it gets one request per [`TRIAL_INTERVAL`] until it has
+//! run one. This limits refusals while the target refuses, detects soon when it serves again, and
+//! keeps routers whose backoff times end together from returning all at once.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -22,88 +23,87 @@
 use crate::target::Tag;
 use crate::usage::Peer;
 
-/// First time for which nobody sends to a target that has refused a request: some requests end there
-/// meanwhile.
+/// First pause after a refusal, in which the target completes some requests.
 pub const FIRST_PAUSE: Duration = Duration::from_millis(100);
 
-/// Longest such time: a refusal costs its request some milliseconds until it runs elsewhere, a target
-/// that serves again and is left alone costs the room of all that it could run.
+/// Longest pause. A refusal delays its request by some milliseconds until it runs elsewhere, while
+/// a target that serves again but gets no requests wastes its whole capacity.
 pub const LONGEST_PAUSE: Duration = Duration::from_millis(300);
 
-/// Pauses that follow each other double so often at the most.
-const DOUBLINGS: u32 = 2;
+/// Limit of doublings of a pause.
+const MAX_DOUBLINGS: u32 = 2;
 
-/// Time between two requests to a target on trial: several round trips, so that the refusal of one is
-/// known before the next.
+/// Time between two requests to a target on trial: several round trips, so that a refusal is known
+/// before the next request is sent.
 pub const TRIAL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time without a request after which a target is no longer on trial.
-const FORGOTTEN: Duration = Duration::from_secs(2);
+/// Time without a refusal or a request after which a target is no longer on trial.
+const TRIAL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest time that a target can name in a message.
-const NAMED_MOST: Duration = Duration::from_hours(1);
+/// Longest backoff time that is accepted in a message.
+const MAX_BACKOFF: Duration = Duration::from_hours(1);
 
 /// A target's refusal of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// For how much longer it wants nothing from the router that it refused, if it says so.
+    /// Remaining backoff time that it requests from the router that it refused, if any.
     pub named: Option<Duration>,
 }
 
 impl Refusal {
-    /// Whether a router can mean this.
+    /// Whether a valid message can contain it.
     #[must_use]
     pub fn plausible(&self) -> bool {
-        self.named.is_none_or(|it| it <= NAMED_MOST)
+        self.named.is_none_or(|it| it <= MAX_BACKOFF)
     }
 }
 
-/// Until when a target wants nothing of a router.
+/// Backoff that a target requested from a router.
 #[derive(Clone, Copy, Debug)]
-struct Named {
+struct Request {
     router: Peer,
     until: Duration,
 }
 
-/// What refusals of one target have left.
+/// Backoff state of one target.
 #[derive(Clone, Debug, Default)]
 struct Record {
-    named: Vec<Named>,
+    requests: Vec<Request>,
     /// Refusals since it last ran a request.
     refusals: u32,
-    /// Until when nobody sends anything.
+    /// End of the pause.
     pause: Duration,
-    /// When the next request may go there on trial.
+    /// When the next trial request may be sent.
     trial: Duration,
 }
 
 impl Record {
     fn refused(&mut self, now: Duration) {
         if now < self.pause {
-            // It was on its way when the first one was refused.
+            // Sent before the refusal that began the pause was known.
             return;
         }
-        let time = FIRST_PAUSE * (1 << self.refusals.min(DOUBLINGS));
+        let time = FIRST_PAUSE * (1 << self.refusals.min(MAX_DOUBLINGS));
         self.refusals += 1;
         self.pause = now + time.min(LONGEST_PAUSE);
     }
 
-    fn name(&mut self, router: Peer, until: Duration) {
-        match self.named.iter_mut().find(|it| it.router == router) {
+    fn request(&mut self, router: Peer, until: Duration) {
+        match self.requests.iter_mut().find(|it| it.router == router) {
             Some(known) => known.until = known.until.max(until),
-            None => self.named.push(Named { router, until }),
+            None => self.requests.push(Request { router, until }),
         }
     }
 
     fn until(&self, router: Peer) -> Option<Duration> {
-        let named = self.named.iter().find(|it| it.router == router);
-        named.map(|it| it.until)
+        let request = self.requests.iter().find(|it| it.router == router);
+        request.map(|it| it.until)
     }
 
-    /// Until when it is taken to refuse all routers, as it has named times to several: until all but
-    /// one of these times are over.
+    /// Until when it is assumed to refuse all routers because it requested backoff from several:
+    /// until all but one of these times are over.
     fn until_for_all(&self) -> Option<Duration> {
-        let times = self.named.iter().map(|it| it.until);
+        let times = self.requests.iter().map(|it| it.until);
         let (_, second) = times.fold((None, None), |(first, second), it| {
             if first.is_none_or(|first| it > first) {
                 (Some(it), first)
@@ -114,36 +114,36 @@
         second
     }
 
-    /// Ends of all that holds.
+    /// Ends of the requested times, of the pause and of the trial interval.
     fn ends(&self) -> impl Iterator<Item = Duration> {
-        let named = self.named.iter().map(|it| it.until);
-        named.chain([self.pause, self.trial])
+        let requested = self.requests.iter().map(|it| it.until);
+        requested.chain([self.pause, self.trial])
     }
 }
 
-/// What targets' refusals have left.
+/// Backoff state of all targets.
 #[derive(Clone, Debug, Default)]
 pub struct Backoffs {
     records: HashMap<Tag, Record>,
 }
 
 impl Backoffs {
-    /// A target has refused a request of a router.
+    /// Records a target's refusal of a router's request.
     pub fn note_refused(&mut self, router: Peer, tag: Tag, refusal: Refusal, now: Duration) {
         self.note_named(router, tag, refusal, now);
         self.records.entry(tag).or_default().refused(now);
     }
 
-    /// A target has named a time to a router, as that router tells.
+    /// Records the backoff time that a target requested from a router, as reported by that router.
     pub fn note_named(&mut self, router: Peer, tag: Tag, refusal: Refusal, now: Duration) {
         if let Some(time) = refusal.named.filter(|it| !it.is_zero()) {
             let record = self.records.entry(tag).or_default();
-            record.name(router, now + time);
+            record.request(router, now + time);
         }
     }
 
-    /// A target runs a request. Within a pause that is one from before the refusal, which says nothing
-    /// of the next.
+    /// Records that a target runs a request. Ignored within a pause: that request was sent before
+    /// the refusal and does not show whether the next one is accepted.
     pub fn note_running(&mut self, tag: Tag, now: Duration) {
         let record = self.records.get_mut(&tag);
         if let Some(record) = record.filter(|it| now >= it.pause) {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// A target is given a request.
+    /// Records that a request is sent to a target.
     pub fn note_sent(&mut self, tag: Tag, now: Duration) {
         let record = self.records.get_mut(&tag);
         if let Some(record) = record.filter(|it| it.refusals > 0) {
@@ -161,14 +161,14 @@
         }
     }
 
-    /// Until when a target wants nothing of a router, if it does.
+    /// End of the backoff that a target requested from a router, if it is not over.
     #[must_use]
     pub fn named_until(&self, router: Peer, tag: Tag, now: Duration) -> Option<Duration> {
         let until = self.records.get(&tag)?.until(router);
         until.filter(|it| now < *it)
     }
 
-    /// When a router's request may go to a target, as whoever places it there knows.
+    /// When a router's request may be placed on a target.
     #[must_use]
     pub fn opens_at(&self, router: Peer, tag: Tag, now: Duration) -> Duration {
         let Some(record) = self.records.get(&tag) else {
@@ -179,7 +179,7 @@
         times.fold(now.max(record.pause).max(record.trial), Duration::max)
     }
 
-    /// The times that targets have named to a router, as they are now.
+    /// Remaining backoff times that targets requested from a router.
     pub fn named_to(&self, router: Peer, now: Duration) -> impl Iterator<Item = (Tag, Refusal)> {
         let tags = self.records.keys();
         tags.filter_map(move |tag| {
@@ -189,33 +189,33 @@
         })
     }
 
-    /// When the next of all that holds ends: requests may wait for that.
+    /// Next end of a backoff, a pause or a trial interval, for which requests may wait.
     #[must_use]
     pub fn next_end(&self, now: Duration) -> Option<Duration> {
         let ends = self.records.values().flat_map(Record::ends);
         ends.filter(|it| now < *it).min()
     }
 
-    /// Forgets what is over; the targets whose time for a router is.
+    /// Removes what is over; returns the targets whose backoff for a router has ended.
     pub fn prune(&mut self, router: Peer, now: Duration) -> Vec<Tag> {
-        let over = |it: &Named| now >= it.until;
+        let over = |it: &Request| now >= it.until;
         let mut freed = Vec::new();
         for (tag, record) in &mut self.records {
-            let mut named = record.named.iter();
-            if named.any(|it| it.router == router && over(it)) {
+            let mut requests = record.requests.iter();
+            if requests.any(|it| it.router == router && over(it)) {
                 freed.push(*tag);
             }
-            record.named.retain(|it| !over(it));
-            if now >= record.pause.max(record.trial) + FORGOTTEN {
+            record.requests.retain(|it| !over(it));
+            if now >= record.pause.max(record.trial) + TRIAL_TIMEOUT {
                 record.refusals = 0;
             }
         }
         self.records
-            .retain(|_, it| it.refusals > 0 || !it.named.is_empty());
+            .retain(|_, it| it.refusals > 0 || !it.requests.is_empty());
         freed
     }
 
-    /// Forgets a target that has ended: its next start owes nothing.
+    /// Removes a target that has terminated; backoff does not apply to its next start.
     pub fn forget(&mut self, tag: Tag) {
         self.records.remove(&tag);
     }
