--- a/crates/dispatch/tests/quarantine_join.rs
+++ b/crates/dispatch/tests/quarantine_merge.rs
@@ -1,5 +1,5 @@
-//! Ledgers of several routers that hear different things in different orders: once all have told each
-//! other, all know the same, and it is what one that heard everything would know.
+//! Ledgers of several routers that receive different findings in different orders converge once all
+//! have merged each other's entries.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,37 +12,36 @@
 
 const NOW: Duration = Duration::from_secs(100);
 
-/// Routers.
 const ROUTERS: usize = 5;
 
-/// Contents that are asked.
+/// Contents that are requested.
 const CONTENTS: u128 = 4;
 
-/// Targets that end.
+/// Targets that findings name.
 const TARGETS: u32 = 6;
 
-/// Steps of a play.
+/// Steps of a simulation.
 const STEPS: usize = 60;
 
-fn tell(from: usize, to: usize, ledgers: &mut [Ledger]) {
+fn send(from: usize, to: usize, ledgers: &mut [Ledger]) {
     let entries: Vec<_> = ledgers[from].entries(NOW).collect();
     for entry in &entries {
         ledgers[to].join(entry, NOW);
     }
 }
 
-fn tell_all(ledgers: &mut [Ledger]) {
-    // Twice, as what one learns from another in the first turn it tells in the second.
+fn exchange_all(ledgers: &mut [Ledger]) {
+    // Twice, as entries received in the first round are passed on in the second.
     for _ in 0..2 {
         for from in 0..ROUTERS {
             for to in 0..ROUTERS {
-                tell(from, to, ledgers);
+                send(from, to, ledgers);
             }
         }
     }
 }
 
-fn draw(random: &mut Pcg64Mcg) -> Finding {
+fn random_finding(random: &mut Pcg64Mcg) -> Finding {
     let fates = [Fate::Open, Fate::Ended, Fate::Ended, Fate::Alive];
     Finding {
         content: Digest(random.random_range(0..CONTENTS)),
@@ -51,7 +50,7 @@
     }
 }
 
-fn play(seed: u64, answers: bool) -> Vec<Ledger> {
+fn simulate(seed: u64, answers: bool) -> Vec<Ledger> {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut ledgers = vec![Ledger::new(); ROUTERS];
     for _ in 0..STEPS {
@@ -61,42 +60,43 @@
                 let content = Digest(random.random_range(0..CONTENTS));
                 ledgers[router].answered(content.tag(), NOW);
             }
-            1 => tell(router, random.random_range(0..ROUTERS), &mut ledgers),
+            1 => send(router, random.random_range(0..ROUTERS), &mut ledgers),
             _ => {
-                ledgers[router].take(draw(&mut random), NOW);
+                ledgers[router].take(random_finding(&mut random), NOW);
             }
         }
     }
-    tell_all(&mut ledgers);
+    exchange_all(&mut ledgers);
     ledgers
 }
 
 #[test]
-fn all_come_to_the_same_sum_whatever_each_has_heard() {
+fn ledgers_converge_to_the_same_digest() {
     for seed in 0..500 {
-        let ledgers = play(seed, seed % 2 == 0);
-        let sums: BTreeSet<_> = ledgers.iter().map(Ledger::digest).collect();
-        assert_eq!(sums.len(), 1, "seed {seed}");
+        let ledgers = simulate(seed, seed % 2 == 0);
+        let digests: BTreeSet<_> = ledgers.iter().map(Ledger::digest).collect();
+        assert_eq!(digests.len(), 1, "seed {seed}");
     }
 }
 
-/// Without answers what is told is the union of what each has heard of a content.
+/// Without answers, all ledgers share the same terminations of each content, and a content that any
+/// of them quarantines has enough of them.
 #[test]
-fn what_is_told_is_what_one_that_heard_everything_would_know() {
+fn ledgers_without_answers_share_the_same_ends() {
     for seed in 0..200 {
-        let ledgers = play(seed, false);
+        let ledgers = simulate(seed, false);
         for content in (0..CONTENTS).map(Digest) {
             let of = |ledger: &Ledger| {
                 let mut entries = ledger.entries(NOW);
                 let entry = entries.find(|it| it.content == content);
                 entry.map(|it| it.ends)
             };
-            let known: Vec<_> = ledgers.iter().map(of).collect();
-            assert!(known.windows(2).all(|it| it[0] == it[1]), "seed {seed}");
+            let shared: Vec<_> = ledgers.iter().map(of).collect();
+            assert!(shared.windows(2).all(|it| it[0] == it[1]), "seed {seed}");
             let held = ledgers
                 .iter()
                 .filter(|it| matches!(it.standing(content, NOW), Standing::Quarantined(_)));
-            let ends = known[0].as_ref().map_or(0, BTreeSet::len);
+            let ends = shared[0].as_ref().map_or(0, BTreeSet::len);
             if held.count() > 0 {
                 assert!(ends >= QUARANTINED, "seed {seed}: {ends}");
             }
