--- a/crates/dispatch/tests/quarantine_load.rs
+++ b/crates/dispatch/tests/quarantine_load.rs
@@ -1,8 +1,9 @@
-//! How many innocent contents are refused while targets crash: a fleet of targets under load, under
-//! virtual time, with the ledger of an owner and its rules of placement in a few lines.
+//! Number of requests with harmless contents that are refused while targets crash. Simulates a
+//! fleet under load in virtual time, with an owner's ledger and a short model of its placement
+//! rules.
 //!
-//! Before these rules nothing was refused and a harmful content ended a target with each of its
-//! tries: 75 in the minute that is played here (computed).
+//! Guards against a content that terminates a target with each of its attempts. Without quarantine
+//! nothing would be refused, and such a content would terminate 75 targets in the simulated minute.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
@@ -13,51 +14,51 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Targets of the fleet.
+/// Targets in the fleet.
 const TARGETS: u32 = 60;
 
-/// Requests a second: 8 run at each target.
-const RATE: u64 = 240;
+/// Request rate, which gives 8 concurrent runs per target.
+const REQUESTS_PER_SECOND: u64 = 240;
 
-/// How long a run lasts.
-const RUN: Duration = Duration::from_secs(2);
+/// Duration of a harmless run.
+const RUN_TIME: Duration = Duration::from_secs(2);
 
-/// How long a harmful content runs until its target ends.
-const HARM: Duration = Duration::from_millis(100);
+/// Time from the start of a harmful run until its target terminates.
+const HARMFUL_RUN_TIME: Duration = Duration::from_millis(100);
 
-/// How long a target is away.
-const AWAY: Duration = Duration::from_secs(3);
+/// Time until a terminated target is replaced.
+const RESTART_TIME: Duration = Duration::from_secs(3);
 
-/// How long is played.
-const PLAYED: Duration = Duration::from_mins(1);
+/// Simulated time.
+const SIMULATED_TIME: Duration = Duration::from_mins(1);
 
-/// Sends for one request of a caller: two tries, each with one repeat.
-const SENDS: u32 = 4;
+/// Sends per request of a caller: two attempts with one repeat each.
+const MAX_SENDS: u32 = 4;
 
-/// One in so many requests asks one of a few contents that many callers ask.
-const POPULAR: u32 = 10;
+/// Requests per request for one of the popular contents.
+const POPULAR_INTERVAL: u32 = 10;
 
-/// Contents that many callers ask.
+/// Contents that many callers request.
 const POPULAR_CONTENTS: u128 = 10;
 
-/// Numbers from which harmful contents begin.
-const HARMFUL: u128 = 1 << 60;
+/// Number of the first harmful content.
+const FIRST_HARMFUL: u128 = 1 << 60;
 
-/// What makes targets end.
+/// Causes of terminations.
 #[derive(Clone, Copy, Debug, Default)]
-struct Trouble {
-    /// Targets that crash by themselves, in all.
+struct Faults {
+    /// Total number of crashes that no content causes.
     crashes: u64,
-    /// Contents that end each target which runs them; each comes every 0.8 s.
+    /// Contents that terminate each target which runs them; each is requested every 0.8 s.
     harmful: u128,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    Comes,
-    Harms(u128),
-    Crashes,
-    Ends(u64),
+    Arrival,
+    HarmfulArrival(u128),
+    Crash,
+    RunEnd(u64),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -67,31 +68,31 @@
     sends: u32,
 }
 
-/// What came of it.
+/// Result of a simulation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Outcome {
-    /// Targets that ended under harmful contents.
+    /// Targets that terminated under harmful contents.
     ended: u32,
-    /// Requests with an innocent content that were refused for it.
+    /// Requests with a harmless content that were refused because of it.
     refused: u32,
 }
 
 struct Fleet {
     ledger: Ledger,
     runs: BTreeMap<u64, Run>,
-    /// Start that runs at each place, and until when it is away.
+    /// Current start of each target, and when it is up.
     starts: Vec<(u32, Duration)>,
     next_start: u32,
     events: BTreeMap<(Duration, u64), Event>,
     random: Pcg64Mcg,
-    next: u64,
+    scheduled: u64,
     sent: u64,
-    fresh: u128,
+    last_unique: u128,
     outcome: Outcome,
 }
 
 impl Fleet {
-    fn play(trouble: Trouble, seed: u64) -> Outcome {
+    fn simulate(faults: Faults, seed: u64) -> Outcome {
         let mut fleet = Self {
             ledger: Ledger::new(),
             runs: BTreeMap::new(),
@@ -99,69 +100,69 @@
             next_start: TARGETS,
             events: BTreeMap::new(),
             random: Pcg64Mcg::seed_from_u64(seed),
-            next: 0,
+            scheduled: 0,
             sent: 0,
-            fresh: POPULAR_CONTENTS,
+            last_unique: POPULAR_CONTENTS,
             outcome: Outcome::default(),
         };
-        fleet.plan(Duration::ZERO, Event::Comes);
-        for number in 0..trouble.harmful {
+        fleet.schedule(Duration::ZERO, Event::Arrival);
+        for number in 0..faults.harmful {
             let at = fleet.random.random_range(0..800);
-            fleet.plan(Duration::from_millis(at), Event::Harms(number));
+            fleet.schedule(Duration::from_millis(at), Event::HarmfulArrival(number));
         }
-        let played = u64::try_from(PLAYED.as_millis()).unwrap();
-        for _ in 0..trouble.crashes {
-            let at = fleet.random.random_range(0..played);
-            fleet.plan(Duration::from_millis(at), Event::Crashes);
+        let simulated = u64::try_from(SIMULATED_TIME.as_millis()).unwrap();
+        for _ in 0..faults.crashes {
+            let at = fleet.random.random_range(0..simulated);
+            fleet.schedule(Duration::from_millis(at), Event::Crash);
         }
         while let Some(((now, _), event)) = fleet.events.pop_first() {
-            if now >= PLAYED {
+            if now >= SIMULATED_TIME {
                 break;
             }
-            fleet.take(event, now);
+            fleet.handle(event, now);
         }
         fleet.outcome
     }
 
-    fn plan(&mut self, at: Duration, event: Event) {
-        self.next += 1;
-        self.events.insert((at, self.next), event);
+    fn schedule(&mut self, at: Duration, event: Event) {
+        self.scheduled += 1;
+        self.events.insert((at, self.scheduled), event);
     }
 
-    fn take(&mut self, event: Event, now: Duration) {
+    fn handle(&mut self, event: Event, now: Duration) {
         match event {
-            Event::Comes => {
-                self.plan(
-                    now + Duration::from_secs(1) / u32::try_from(RATE).unwrap(),
+            Event::Arrival => {
+                self.schedule(
+                    now + Duration::from_secs(1) / u32::try_from(REQUESTS_PER_SECOND).unwrap(),
                     event,
                 );
-                let popular = self.random.random_ratio(1, POPULAR);
+                let popular = self.random.random_ratio(1, POPULAR_INTERVAL);
                 let content = if popular {
                     self.random.random_range(0..POPULAR_CONTENTS)
                 } else {
-                    self.fresh += 1;
-                    self.fresh
+                    self.last_unique += 1;
+                    self.last_unique
                 };
                 self.send(content, 1, now);
             }
-            Event::Harms(number) => {
-                self.plan(now + Duration::from_millis(800), event);
-                self.send(HARMFUL + number, SENDS, now);
+            Event::HarmfulArrival(number) => {
+                self.schedule(now + Duration::from_millis(800), event);
+                self.send(FIRST_HARMFUL + number, MAX_SENDS, now);
             }
-            Event::Crashes => {
-                let place = self.random.random_range(0..self.starts.len());
-                if self.starts[place].1 <= now {
-                    self.end(place, now);
+            Event::Crash => {
+                let index = self.random.random_range(0..self.starts.len());
+                if self.starts[index].1 <= now {
+                    self.terminate(index, now);
                 }
             }
-            Event::Ends(number) => self.ends(number, now),
+            Event::RunEnd(number) => self.end_run(number, now),
         }
     }
 
     fn send(&mut self, content: u128, sends: u32, now: Duration) {
         let standing = self.ledger.standing(Digest(content), now);
         if matches!(standing, Standing::Held | Standing::Quarantined(_)) {
-            self.outcome.refused += u32::from(content < HARMFUL);
+            self.outcome.refused += u32::from(content < FIRST_HARMFUL);
             return;
         }
         let Some(target) = self.choose(content, standing, now) else {
@@ -174,54 +175,58 @@
         };
         self.sent += 1;
         self.runs.insert(self.sent, run);
-        let lasts = if content < HARMFUL { RUN } else { HARM };
-        self.plan(now + lasts, Event::Ends(self.sent));
+        let time = if content < FIRST_HARMFUL {
+            RUN_TIME
+        } else {
+            HARMFUL_RUN_TIME
+        };
+        self.schedule(now + time, Event::RunEnd(self.sent));
     }
 
-    /// A target that runs, by chance; a suspect where no other one is.
+    /// A random target that is up; for a suspect, one that runs no other suspect.
     fn choose(&mut self, content: u128, standing: Standing, now: Duration) -> Option<u32> {
         let runs = self.runs.values();
         let suspects = runs.filter(|it| {
             it.content != content && self.ledger.standing(Digest(it.content), now) != Standing::Free
         });
-        let taken: HashSet<u32> = suspects.map(|it| it.target).collect();
+        let excluded: HashSet<u32> = suspects.map(|it| it.target).collect();
         let alone = standing != Standing::Free;
         let up = self.starts.iter().filter(|(_, until)| *until <= now);
         let up = up.map(|(start, _)| *start);
-        let up: Vec<_> = up.filter(|it| !alone || !taken.contains(it)).collect();
+        let up: Vec<_> = up.filter(|it| !alone || !excluded.contains(it)).collect();
         if up.is_empty() {
             return None;
         }
         Some(up[self.random.random_range(0..up.len())])
     }
 
-    fn ends(&mut self, number: u64, now: Duration) {
+    fn end_run(&mut self, number: u64, now: Duration) {
         let Some(run) = self.runs.remove(&number) else {
             return;
         };
-        if run.content < HARMFUL {
+        if run.content < FIRST_HARMFUL {
             self.ledger.answered(Digest(run.content).tag(), now);
             return;
         }
         self.runs.insert(number, run);
-        let mut places = self.starts.iter();
-        let place = places.position(|(start, _)| *start == run.target);
-        if let Some(place) = place {
+        let mut starts = self.starts.iter();
+        let index = starts.position(|(start, _)| *start == run.target);
+        if let Some(index) = index {
             self.outcome.ended += 1;
-            self.end(place, now);
+            self.terminate(index, now);
         }
     }
 
-    /// A target ends with all that it runs; callers and routers try again at once.
-    fn end(&mut self, place: usize, now: Duration) {
-        let (start, _) = self.starts[place];
-        self.starts[place] = (self.next_start, now + AWAY);
+    /// Terminates a target with all its runs; callers and routers retry at once.
+    fn terminate(&mut self, index: usize, now: Duration) {
+        let (start, _) = self.starts[index];
+        self.starts[index] = (self.next_start, now + RESTART_TIME);
         self.next_start += 1;
-        let (gone, runs): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut self.runs)
+        let (failed, runs): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut self.runs)
             .into_iter()
             .partition(|(_, it)| it.target == start);
         self.runs = runs;
-        for run in gone.values() {
+        for run in failed.values() {
             let finding = Finding {
                 content: Digest(run.content),
                 target: Tag(start),
@@ -229,40 +234,40 @@
             };
             self.ledger.take(finding, now);
         }
-        for run in gone.values().filter(|it| it.sends < SENDS) {
+        for run in failed.values().filter(|it| it.sends < MAX_SENDS) {
             self.send(run.content, run.sends + 1, now);
         }
     }
 }
 
-/// What came of ten plays with other seeds.
-fn ten(trouble: Trouble) -> Outcome {
+/// Sum of ten simulations with different seeds.
+fn simulate_ten(faults: Faults) -> Outcome {
     let mut sum = Outcome::default();
     for seed in 0..10 {
-        let outcome = Fleet::play(trouble, seed);
+        let outcome = Fleet::simulate(faults, seed);
         sum.ended += outcome.ended;
         sum.refused += outcome.refused;
     }
     sum
 }
 
-/// 9 of 60 targets crash within a minute, in ten plays of 14,400 requests each.
+/// 9 of 60 targets crash within a minute, in ten simulations of 14,400 requests each.
 #[test]
-fn no_innocent_request_is_refused_when_fifteen_in_a_hundred_targets_crash() {
+fn no_harmless_request_is_refused_when_15_of_100_targets_crash() {
     let crashes = u64::from(TARGETS) * 15 / 100;
-    let outcome = ten(Trouble {
+    let outcome = simulate_ten(Faults {
         crashes,
         harmful: 0,
     });
     assert_eq!(outcome, Outcome::default());
 }
 
-/// The same with one content that ends its targets. One request of the 144,000 is refused by chance
-/// with these seeds: three targets crash by themselves in 4 s, each with a send of it.
+/// The same with one harmful content. One of the 144,000 requests is refused by chance with these
+/// seeds: three targets crash within 4 s, each while it runs a send of that request.
 #[test]
-fn one_harmful_content_ends_three_targets_and_next_to_no_innocent_request_is_refused() {
+fn one_harmful_content_terminates_three_targets_and_at_most_one_harmless_request_is_refused() {
     let crashes = u64::from(TARGETS) * 15 / 100;
-    let outcome = ten(Trouble {
+    let outcome = simulate_ten(Faults {
         crashes,
         harmful: 1,
     });
@@ -270,10 +275,10 @@
     assert!(outcome.refused <= 1, "{outcome:?}");
 }
 
-/// Eight at once, and each target crashes once a minute beside them.
+/// Eight harmful contents at once, while as many crashes occur in the minute as there are targets.
 #[test]
-fn many_harmful_contents_among_many_crashes_end_three_targets_each() {
-    let outcome = ten(Trouble {
+fn many_harmful_contents_among_many_crashes_terminate_few_targets_each() {
+    let outcome = simulate_ten(Faults {
         crashes: u64::from(TARGETS),
         harmful: 8,
     });
