--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -3,7 +3,7 @@
 //! A target that terminates fails all its runs, most of which have not caused the termination, so
 //! a single termination does not identify the cause. A content that causes terminations never
 //! completes, though. So the ledger counts for each content the targets that terminated while they
-//! ran it since its last answer; an answer clears it. With [`SUSPECT`] of them or more, the content
+//! ran it since its last answer; an answer clears it. With [`SUSPECT_ENDS`] of them or more, the content
 //! is kept away from other suspects, so that the next termination has only one possible cause. With
 //! [`QUARANTINED`] it is not sent for a hold time, which grows with each trial after a hold that
 //! terminates a target again.
@@ -35,7 +35,7 @@
 
 /// Terminations at which a content is kept away from other suspects. With one, all contents that
 /// ran beside the cause would be suspects, up to a full batch.
-pub const SUSPECT: usize = 2;
+pub const SUSPECT_ENDS: usize = 2;
 
 /// Terminations at which a content is quarantined. If 15 of 100 targets crash per minute, a target
 /// crashes during one in 100 runs of 4 s, so three in a row without an answer in between happen by
@@ -192,7 +192,7 @@
         }
         match ends + open {
             QUARANTINED.. => Standing::Held,
-            SUSPECT.. => Standing::Suspect,
+            SUSPECT_ENDS.. => Standing::Suspect,
             _ => Standing::Free,
         }
     }
@@ -293,7 +293,7 @@
         let record = self.records.get_mut(&tag)?;
         let ends = record.counted_ends(&self.explained);
         record.guilty |= ends >= QUARANTINED;
-        record.shared |= ends >= SUSPECT;
+        record.shared |= ends >= SUSPECT_ENDS;
         if record.guilty {
             return Some(Change::Quarantined(record.ends.len()));
         }
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -7,7 +7,7 @@
 use dunlinward_dispatch::copies::{Answered, Copies};
 use dunlinward_dispatch::cuts::Cuts;
 use dunlinward_dispatch::quarantine::{
-    Change, Fate, Finding, HOLD, Ledger, OPEN, QUARANTINED, SUSPECT, Standing,
+    Change, Fate, Finding, HOLD, Ledger, OPEN, QUARANTINED, SUSPECT_ENDS, Standing,
 };
 use dunlinward_dispatch::region::Region;
 use dunlinward_dispatch::target::Tag;
@@ -47,7 +47,7 @@
         steps,
         [
             (Some(Change::Charged(1)), Standing::Free),
-            (Some(Change::Charged(SUSPECT)), Standing::Suspect),
+            (Some(Change::Charged(SUSPECT_ENDS)), Standing::Suspect),
             (
                 Some(Change::Quarantined(QUARANTINED)),
                 Standing::Quarantined(HOLD)
--- a/crates/path/src/quarantine.rs
+++ b/crates/path/src/quarantine.rs
@@ -2,7 +2,7 @@
 //! operators see and lift.
 
 use dunlinward_dispatch::content::{ContentTag, Digest};
-use dunlinward_dispatch::quarantine::{Change, Entry, Finding, SUSPECT, Standing};
+use dunlinward_dispatch::quarantine::{Change, Entry, Finding, SUSPECT_ENDS, Standing};
 use dunlinward_dispatch::target::Tag;
 use tokio::sync::{Mutex, mpsc};
 
@@ -87,7 +87,7 @@
     let line = line.with("target", target.map(|it| it.id.to_string()));
     drop(line.with("quarantined", quarantined));
     // A first end is the owner's alone to know.
-    if !matches!(change, Change::Charged(ends) if ends < SUSPECT) {
+    if !matches!(change, Change::Charged(ends) if ends < SUSPECT_ENDS) {
         gossip::spread(node);
     }
 }
