--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -5,7 +5,7 @@
 //! completes, though. So the ledger counts for each content the targets that terminated while they
 //! ran it since its last answer; an answer clears it. With [`SUSPECT_ENDS`] of them or more, the content
 //! is kept away from other suspects, so that the next termination has only one possible cause. With
-//! [`QUARANTINED`] it is not sent for a hold time, which grows with each trial after a hold that
+//! [`QUARANTINE_ENDS`] it is not sent for a hold time, which grows with each trial after a hold that
 //! terminates a target again.
 //!
 //! Each termination has one cause. Terminations that count against a quarantined content are not
@@ -40,7 +40,7 @@
 /// Terminations at which a content is quarantined. If 15 of 100 targets crash per minute, a target
 /// crashes during one in 100 runs of 4 s, so three in a row without an answer in between happen by
 /// chance to one request in a million (to none of 144,000 under virtual time).
-pub const QUARANTINED: usize = 3;
+pub const QUARANTINE_ENDS: usize = 3;
 
 /// Time limit for finding an open run's target terminated: entries lapse three heartbeats of 1.2 s
 /// after a target's last one, and the list of targets is read every second.
@@ -159,7 +159,7 @@
     }
 
     fn held_until(&self) -> Duration {
-        let trials = self.ends.len().saturating_sub(QUARANTINED);
+        let trials = self.ends.len().saturating_sub(QUARANTINE_ENDS);
         let trials = u32::try_from(trials)
             .unwrap_or(MAX_HOLD_EXPONENT)
             .min(MAX_HOLD_EXPONENT);
@@ -191,7 +191,7 @@
             };
         }
         match ends + open {
-            QUARANTINED.. => Standing::Held,
+            QUARANTINE_ENDS.. => Standing::Held,
             SUSPECT_ENDS.. => Standing::Suspect,
             _ => Standing::Free,
         }
@@ -292,7 +292,7 @@
     fn evaluate(&mut self, tag: ContentTag) -> Option<Change> {
         let record = self.records.get_mut(&tag)?;
         let ends = record.counted_ends(&self.explained);
-        record.guilty |= ends >= QUARANTINED;
+        record.guilty |= ends >= QUARANTINE_ENDS;
         record.shared |= ends >= SUSPECT_ENDS;
         if record.guilty {
             return Some(Change::Quarantined(record.ends.len()));
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -7,7 +7,7 @@
 use dunlinward_dispatch::copies::{Answered, Copies};
 use dunlinward_dispatch::cuts::Cuts;
 use dunlinward_dispatch::quarantine::{
-    Change, Fate, Finding, HOLD, Ledger, OPEN, QUARANTINED, SUSPECT_ENDS, Standing,
+    Change, Fate, Finding, HOLD, Ledger, OPEN, QUARANTINE_ENDS, SUSPECT_ENDS, Standing,
 };
 use dunlinward_dispatch::region::Region;
 use dunlinward_dispatch::target::Tag;
@@ -49,7 +49,7 @@
             (Some(Change::Charged(1)), Standing::Free),
             (Some(Change::Charged(SUSPECT_ENDS)), Standing::Suspect),
             (
-                Some(Change::Quarantined(QUARANTINED)),
+                Some(Change::Quarantined(QUARANTINE_ENDS)),
                 Standing::Quarantined(HOLD)
             ),
         ]
--- a/crates/dispatch/tests/quarantine_merge.rs
+++ b/crates/dispatch/tests/quarantine_merge.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dunlinward_dispatch::content::Digest;
-use dunlinward_dispatch::quarantine::{Fate, Finding, Ledger, QUARANTINED, Standing};
+use dunlinward_dispatch::quarantine::{Fate, Finding, Ledger, QUARANTINE_ENDS, Standing};
 use dunlinward_dispatch::target::Tag;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -98,7 +98,7 @@
                 .filter(|it| matches!(it.standing(content, NOW), Standing::Quarantined(_)));
             let ends = shared[0].as_ref().map_or(0, BTreeSet::len);
             if held.count() > 0 {
-                assert!(ends >= QUARANTINED, "seed {seed}: {ends}");
+                assert!(ends >= QUARANTINE_ENDS, "seed {seed}: {ends}");
             }
         }
     }
