--- a/crates/dispatch/src/cuts.rs
+++ b/crates/dispatch/src/cuts.rs
@@ -4,7 +4,7 @@
 
 use crate::cell::Cell;
 use crate::content::Digest;
-use crate::quarantine::{Fate, Finding, OPEN};
+use crate::quarantine::{Fate, Finding, OPEN_TIMEOUT};
 use crate::target::Tag;
 
 /// Times that a finding is sent to the owner of its content, as datagrams may be lost.
@@ -93,10 +93,10 @@
     }
 
     /// Findings to be sent once more. Removes those that were sent [`MAX_SENDS`] times, unless they
-    /// are open and within [`OPEN`].
+    /// are open and within [`OPEN_TIMEOUT`].
     pub fn again(&mut self, now: Duration) -> Vec<Telling> {
         self.runs.retain(|it| {
-            let open = it.finding.fate == Fate::Open && it.at + OPEN > now;
+            let open = it.finding.fate == Fate::Open && it.at + OPEN_TIMEOUT > now;
             open || it.sends < MAX_SENDS
         });
         let due = self.runs.iter_mut().filter(|it| it.sends < MAX_SENDS);
--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -44,7 +44,7 @@
 
 /// Time limit for finding an open run's target terminated: entries lapse three heartbeats of 1.2 s
 /// after a target's last one, and the list of targets is read every second.
-pub const OPEN: Duration = Duration::from_secs(6);
+pub const OPEN_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// First hold time of a quarantined content. Holds end because a new version of a model may run it.
 pub const HOLD: Duration = Duration::from_hours(1);
@@ -179,7 +179,7 @@
     fn standing(&self, explained: &HashSet<Tag>, now: Duration) -> Standing {
         let ends = self.counted_ends(explained);
         let open = self.open.iter();
-        let open = open.filter(|(tag, at)| *at + OPEN > now && !self.ends.contains(tag));
+        let open = open.filter(|(tag, at)| *at + OPEN_TIMEOUT > now && !self.ends.contains(tag));
         let open = open.count();
         if self.guilty {
             let left = self.held_until().saturating_sub(now);
@@ -203,7 +203,7 @@
             return self.held_until() + HOLD_RETENTION;
         }
         if self.ends.is_empty() {
-            let open = self.open.iter().map(|(_, at)| *at + OPEN).max();
+            let open = self.open.iter().map(|(_, at)| *at + OPEN_TIMEOUT).max();
             let cleared = self.shared.then_some(self.changed + CLEARED_RETENTION);
             return open.max(cleared).unwrap_or_default();
         }
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -7,7 +7,7 @@
 use dunlinward_dispatch::copies::{Answered, Copies};
 use dunlinward_dispatch::cuts::Cuts;
 use dunlinward_dispatch::quarantine::{
-    Change, Fate, Finding, HOLD, Ledger, OPEN, QUARANTINE_ENDS, SUSPECT_ENDS, Standing,
+    Change, Fate, Finding, HOLD, Ledger, OPEN_TIMEOUT, QUARANTINE_ENDS, SUSPECT_ENDS, Standing,
 };
 use dunlinward_dispatch::region::Region;
 use dunlinward_dispatch::target::Tag;
@@ -84,7 +84,7 @@
     let mut ledger = ledger_with_ends(1, 2);
     ledger.take(finding(1, 8, Fate::Open), START);
     assert_eq!(ledger.standing(content(1), START), Standing::Held);
-    let later = START + OPEN;
+    let later = START + OPEN_TIMEOUT;
     assert_eq!(ledger.standing(content(1), later), Standing::Suspect);
     ledger.take(finding(1, 8, Fate::Alive), START);
     assert_eq!(ledger.standing(content(1), START), Standing::Suspect);
@@ -264,7 +264,7 @@
     let sent: Vec<_> = (0..4).map(|_| resolved(cuts.again(START))).collect();
     assert_eq!(sent, [2, 2, 0, 0]);
     assert!(cuts.open(Tag(2)));
-    cuts.again(START + OPEN);
+    cuts.again(START + OPEN_TIMEOUT);
     assert!(!cuts.open(Tag(2)));
 }
 
--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -120,7 +120,9 @@
 pub(crate) fn unsafe_to_send(node: &Rc<Node>, job: &Job) -> Option<Refusal> {
     match node.standing_of(job.content) {
         Standing::Free | Standing::Suspect => None,
-        Standing::Held => Some(Refusal::new(Reason::Suspected).with_retry_after(quarantine::OPEN)),
+        Standing::Held => {
+            Some(Refusal::new(Reason::Suspected).with_retry_after(quarantine::OPEN_TIMEOUT))
+        }
         Standing::Quarantined(left) => {
             Some(Refusal::new(Reason::Quarantined).with_retry_after(left))
         }
