--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -47,7 +47,7 @@
 pub const OPEN_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// First hold time of a quarantined content. Holds end because a new version of a model may run it.
-pub const HOLD: Duration = Duration::from_hours(1);
+pub const FIRST_HOLD: Duration = Duration::from_hours(1);
 
 /// Factor by which the hold time grows with each trial that terminated a target: at most two trials
 /// per day.
@@ -163,7 +163,7 @@
         let trials = u32::try_from(trials)
             .unwrap_or(MAX_HOLD_EXPONENT)
             .min(MAX_HOLD_EXPONENT);
-        self.changed + HOLD.saturating_mul(HOLD_FACTOR.pow(trials))
+        self.changed + FIRST_HOLD.saturating_mul(HOLD_FACTOR.pow(trials))
     }
 
     /// Number of terminations that count against it: all if it is or was quarantined, otherwise
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -7,7 +7,8 @@
 use dunlinward_dispatch::copies::{Answered, Copies};
 use dunlinward_dispatch::cuts::Cuts;
 use dunlinward_dispatch::quarantine::{
-    Change, Fate, Finding, HOLD, Ledger, OPEN_TIMEOUT, QUARANTINE_ENDS, SUSPECT_ENDS, Standing,
+    Change, FIRST_HOLD, Fate, Finding, Ledger, OPEN_TIMEOUT, QUARANTINE_ENDS, SUSPECT_ENDS,
+    Standing,
 };
 use dunlinward_dispatch::region::Region;
 use dunlinward_dispatch::target::Tag;
@@ -50,7 +51,7 @@
             (Some(Change::Charged(SUSPECT_ENDS)), Standing::Suspect),
             (
                 Some(Change::Quarantined(QUARANTINE_ENDS)),
-                Standing::Quarantined(HOLD)
+                Standing::Quarantined(FIRST_HOLD)
             ),
         ]
     );
@@ -93,18 +94,18 @@
 #[test]
 fn each_failed_trial_lengthens_a_quarantine() {
     let mut ledger = ledger_with_ends(1, 3);
-    let trial = START + HOLD;
+    let trial = START + FIRST_HOLD;
     assert_eq!(ledger.standing(content(1), trial), Standing::Suspect);
     let change = ledger.take(finding(1, 3, Fate::Ended), trial);
     assert_eq!(change, Some(Change::Quarantined(4)));
     let Standing::Quarantined(left) = ledger.standing(content(1), trial) else {
         panic!("the content is not quarantined after a failed trial");
     };
-    assert!(left > HOLD * 4);
+    assert!(left > FIRST_HOLD * 4);
     let day = START + Duration::from_hours(24);
     ledger.prune(day);
     assert!(matches!(
-        ledger.standing(content(1), trial + HOLD),
+        ledger.standing(content(1), trial + FIRST_HOLD),
         Standing::Quarantined(_)
     ));
 }
