--- a/crates/dispatch/src/cuts.rs
+++ b/crates/dispatch/src/cuts.rs
@@ -4,7 +4,7 @@
 
 use crate::cell::Cell;
 use crate::content::Digest;
-use crate::quarantine::{Fate, Finding, OPEN_TIMEOUT};
+use crate::quarantine::{Finding, OPEN_TIMEOUT, Resolution};
 use crate::target::Tag;
 
 /// Times that a finding is sent to the owner of its content, as datagrams may be lost.
@@ -60,7 +60,7 @@
         let finding = Finding {
             content,
             target,
-            fate: Fate::Open,
+            fate: Resolution::Open,
         };
         let run = Run {
             finding,
@@ -76,14 +76,15 @@
     #[must_use]
     pub fn open(&self, target: Tag) -> bool {
         let mut runs = self.runs.iter();
-        runs.any(|it| it.finding.target == target && it.finding.fate == Fate::Open)
+        runs.any(|it| it.finding.target == target && it.finding.fate == Resolution::Open)
     }
 
     /// Resolves the open runs of a target whose state is known; returns the findings to be sent
     /// now.
-    pub fn settle(&mut self, target: Tag, fate: Fate) -> Vec<Telling> {
+    pub fn settle(&mut self, target: Tag, fate: Resolution) -> Vec<Telling> {
         let open = self.runs.iter_mut();
-        let open = open.filter(|it| it.finding.target == target && it.finding.fate == Fate::Open);
+        let open =
+            open.filter(|it| it.finding.target == target && it.finding.fate == Resolution::Open);
         let resolved = open.map(|it| {
             it.finding.fate = fate;
             it.sends = 1;
@@ -96,7 +97,7 @@
     /// are open and within [`OPEN_TIMEOUT`].
     pub fn again(&mut self, now: Duration) -> Vec<Telling> {
         self.runs.retain(|it| {
-            let open = it.finding.fate == Fate::Open && it.at + OPEN_TIMEOUT > now;
+            let open = it.finding.fate == Resolution::Open && it.at + OPEN_TIMEOUT > now;
             open || it.sends < MAX_SENDS
         });
         let due = self.runs.iter_mut().filter(|it| it.sends < MAX_SENDS);
--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -71,7 +71,7 @@
 
 /// State of the target of a run that ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fate {
+pub enum Resolution {
     /// Not known yet.
     Open,
     /// The target has terminated.
@@ -88,7 +88,7 @@
     /// Target of the run.
     pub target: Tag,
     /// State of the target.
-    pub fate: Fate,
+    pub fate: Resolution,
 }
 
 /// Restrictions on sending a content.
@@ -262,7 +262,7 @@
             target,
             fate,
         } = finding;
-        if fate == Fate::Alive {
+        if fate == Resolution::Alive {
             let record = self.records.get_mut(&content.tag())?;
             record.open.retain(|(tag, _)| *tag != target);
             return None;
@@ -272,7 +272,7 @@
             return None;
         }
         let known = record.open.iter().any(|(tag, _)| *tag == target);
-        if fate == Fate::Open {
+        if fate == Resolution::Open {
             if !known {
                 record.open.push((target, now));
             }
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -7,7 +7,7 @@
 use dunlinward_dispatch::copies::{Answered, Copies};
 use dunlinward_dispatch::cuts::Cuts;
 use dunlinward_dispatch::quarantine::{
-    Change, FIRST_HOLD, Fate, Finding, Ledger, OPEN_TIMEOUT, QUARANTINE_ENDS, SUSPECT_ENDS,
+    Change, FIRST_HOLD, Finding, Ledger, OPEN_TIMEOUT, QUARANTINE_ENDS, Resolution, SUSPECT_ENDS,
     Standing,
 };
 use dunlinward_dispatch::region::Region;
@@ -19,7 +19,7 @@
     Digest(number)
 }
 
-fn finding(number: u128, target: u32, fate: Fate) -> Finding {
+fn finding(number: u128, target: u32, fate: Resolution) -> Finding {
     Finding {
         content: content(number),
         target: Tag(target),
@@ -31,7 +31,7 @@
 fn ledger_with_ends(number: u128, ends: u32) -> Ledger {
     let mut ledger = Ledger::new();
     for target in 0..ends {
-        ledger.take(finding(number, target, Fate::Ended), START);
+        ledger.take(finding(number, target, Resolution::Ended), START);
     }
     ledger
 }
@@ -41,7 +41,7 @@
     let mut ledger = Ledger::new();
     let mut steps = Vec::new();
     for target in 0..3 {
-        let change = ledger.take(finding(1, target, Fate::Ended), START);
+        let change = ledger.take(finding(1, target, Resolution::Ended), START);
         steps.push((change, ledger.standing(content(1), START)));
     }
     assert_eq!(
@@ -62,8 +62,8 @@
 fn a_target_counts_once_for_all_its_runs() {
     let mut ledger = Ledger::new();
     for _ in 0..5 {
-        ledger.take(finding(1, 7, Fate::Open), START);
-        ledger.take(finding(1, 7, Fate::Ended), START);
+        ledger.take(finding(1, 7, Resolution::Open), START);
+        ledger.take(finding(1, 7, Resolution::Ended), START);
     }
     assert_eq!(ledger.standing(content(1), START), Standing::Free);
 }
@@ -76,18 +76,18 @@
         Some(Change::Cleared)
     );
     assert_eq!(ledger.standing(content(1), START), Standing::Free);
-    ledger.take(finding(1, 9, Fate::Ended), START);
+    ledger.take(finding(1, 9, Resolution::Ended), START);
     assert_eq!(ledger.standing(content(1), START), Standing::Free);
 }
 
 #[test]
 fn an_open_run_counts_until_its_target_is_found_alive_or_it_times_out() {
     let mut ledger = ledger_with_ends(1, 2);
-    ledger.take(finding(1, 8, Fate::Open), START);
+    ledger.take(finding(1, 8, Resolution::Open), START);
     assert_eq!(ledger.standing(content(1), START), Standing::Held);
     let later = START + OPEN_TIMEOUT;
     assert_eq!(ledger.standing(content(1), later), Standing::Suspect);
-    ledger.take(finding(1, 8, Fate::Alive), START);
+    ledger.take(finding(1, 8, Resolution::Alive), START);
     assert_eq!(ledger.standing(content(1), START), Standing::Suspect);
 }
 
@@ -96,7 +96,7 @@
     let mut ledger = ledger_with_ends(1, 3);
     let trial = START + FIRST_HOLD;
     assert_eq!(ledger.standing(content(1), trial), Standing::Suspect);
-    let change = ledger.take(finding(1, 3, Fate::Ended), trial);
+    let change = ledger.take(finding(1, 3, Resolution::Ended), trial);
     assert_eq!(change, Some(Change::Quarantined(4)));
     let Standing::Quarantined(left) = ledger.standing(content(1), trial) else {
         panic!("the content is not quarantined after a failed trial");
@@ -115,9 +115,9 @@
     let mut first = ledger_with_ends(1, 2);
     let mut second = Ledger::new();
     for target in [1, 2] {
-        second.take(finding(1, target, Fate::Ended), START);
+        second.take(finding(1, target, Resolution::Ended), START);
     }
-    second.take(finding(2, 5, Fate::Ended), START);
+    second.take(finding(2, 5, Resolution::Ended), START);
     let [of_first, of_second]: [Vec<_>; 2] =
         [&first, &second].map(|it| it.entries(START).collect());
     // A content with one termination is not shared.
@@ -163,7 +163,7 @@
 fn the_record_limit_evicts_contents_with_the_fewest_ends() {
     let mut ledger = ledger_with_ends(1, 3);
     for number in 2..20_000 {
-        ledger.take(finding(number, 1, Fate::Ended), START);
+        ledger.take(finding(number, 1, Resolution::Ended), START);
     }
     assert!(matches!(
         ledger.standing(content(1), START),
@@ -181,7 +181,7 @@
     assert_eq!(ledger.standing(other, START), Standing::Free);
     let finding = Finding {
         content: other,
-        ..finding(1, 9, Fate::Ended)
+        ..finding(1, 9, Resolution::Ended)
     };
     assert_eq!(ledger.take(finding, START), None);
 }
@@ -252,14 +252,14 @@
     let mut cuts = Cuts::new();
     for number in 1..=2 {
         let report = cuts.note(content(number), Tag(1), cell, START);
-        assert_eq!(report.finding.fate, Fate::Open);
+        assert_eq!(report.finding.fate, Resolution::Open);
     }
     cuts.note(content(3), Tag(2), cell, START);
-    assert_eq!(cuts.settle(Tag(1), Fate::Ended).len(), 2);
-    assert!(cuts.settle(Tag(1), Fate::Alive).is_empty());
+    assert_eq!(cuts.settle(Tag(1), Resolution::Ended).len(), 2);
+    assert!(cuts.settle(Tag(1), Resolution::Alive).is_empty());
     let resolved = |sent: Vec<_>| {
         let sent = sent.into_iter();
-        sent.filter(|it: &dunlinward_dispatch::cuts::Telling| it.finding.fate == Fate::Ended)
+        sent.filter(|it: &dunlinward_dispatch::cuts::Telling| it.finding.fate == Resolution::Ended)
             .count()
     };
     let sent: Vec<_> = (0..4).map(|_| resolved(cuts.again(START))).collect();
@@ -275,15 +275,15 @@
 fn contents_that_ran_beside_a_quarantined_one_are_released() {
     let mut ledger = ledger_with_ends(1, 2);
     for target in 0..2 {
-        ledger.take(finding(2, target, Fate::Ended), START);
+        ledger.take(finding(2, target, Resolution::Ended), START);
     }
     assert_eq!(ledger.standing(content(2), START), Standing::Suspect);
-    ledger.take(finding(1, 2, Fate::Ended), START);
+    ledger.take(finding(1, 2, Resolution::Ended), START);
     assert_eq!(ledger.standing(content(2), START), Standing::Free);
     // The first content explains the terminations of targets 0 to 2, so only that of target 3
     // counts.
     for target in 2..4 {
-        ledger.take(finding(2, target, Fate::Ended), START);
+        ledger.take(finding(2, target, Resolution::Ended), START);
     }
     assert_eq!(ledger.standing(content(2), START), Standing::Free);
 }
--- a/crates/dispatch/tests/quarantine_load.rs
+++ b/crates/dispatch/tests/quarantine_load.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use dunlinward_dispatch::content::Digest;
-use dunlinward_dispatch::quarantine::{Fate, Finding, Ledger, Standing};
+use dunlinward_dispatch::quarantine::{Finding, Ledger, Resolution, Standing};
 use dunlinward_dispatch::target::Tag;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -230,7 +230,7 @@
             let finding = Finding {
                 content: Digest(run.content),
                 target: Tag(start),
-                fate: Fate::Ended,
+                fate: Resolution::Ended,
             };
             self.ledger.take(finding, now);
         }
--- a/crates/dispatch/tests/quarantine_merge.rs
+++ b/crates/dispatch/tests/quarantine_merge.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dunlinward_dispatch::content::Digest;
-use dunlinward_dispatch::quarantine::{Fate, Finding, Ledger, QUARANTINE_ENDS, Standing};
+use dunlinward_dispatch::quarantine::{Finding, Ledger, QUARANTINE_ENDS, Resolution, Standing};
 use dunlinward_dispatch::target::Tag;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -42,11 +42,16 @@
 }
 
 fn random_finding(random: &mut Pcg64Mcg) -> Finding {
-    let fates = [Fate::Open, Fate::Ended, Fate::Ended, Fate::Alive];
+    let resolutions = [
+        Resolution::Open,
+        Resolution::Ended,
+        Resolution::Ended,
+        Resolution::Alive,
+    ];
     Finding {
         content: Digest(random.random_range(0..CONTENTS)),
         target: Tag(random.random_range(0..TARGETS)),
-        fate: fates[random.random_range(0..fates.len())],
+        fate: resolutions[random.random_range(0..resolutions.len())],
     }
 }
 
--- a/crates/dispatch/tests/restored.rs
+++ b/crates/dispatch/tests/restored.rs
@@ -7,7 +7,7 @@
 
 use dunlinward_dispatch::content::Digest;
 use dunlinward_dispatch::evacuation::{Change, Evacuations, Order};
-use dunlinward_dispatch::quarantine::{Entry, Fate, Finding, Ledger};
+use dunlinward_dispatch::quarantine::{Entry, Finding, Ledger, Resolution};
 use dunlinward_dispatch::registry::{LAPSE, OUTAGE, RETURN_TIME, Registry};
 use dunlinward_dispatch::store::{Era, Position, RESTORE_TIME, Sight};
 use dunlinward_dispatch::target::{State, Tag, Target};
@@ -393,7 +393,7 @@
         let finding = Finding {
             content,
             target: Tag(target),
-            fate: Fate::Ended,
+            fate: Resolution::Ended,
         };
         ledger.take(finding, Duration::ZERO);
     }
--- a/crates/path/src/cut.rs
+++ b/crates/path/src/cut.rs
@@ -15,7 +15,7 @@
 use dunlinward_dispatch::content::Digest;
 use dunlinward_dispatch::cuts::Telling;
 use dunlinward_dispatch::health::Outcome;
-use dunlinward_dispatch::quarantine::{Fate, Finding};
+use dunlinward_dispatch::quarantine::{Finding, Resolution};
 use dunlinward_dispatch::report::Content;
 use dunlinward_dispatch::target::{State as Condition, Target};
 
@@ -75,7 +75,7 @@
 
 /// A new connection to a target was opened.
 pub(crate) fn reached(node: &Node, target: &Target) {
-    settle(node, target, Fate::Alive);
+    settle(node, target, Resolution::Alive);
 }
 
 /// No connection to a target could be had. If it was refused, nobody listens there any more.
@@ -83,7 +83,7 @@
     let refused = matches!(error, Error::Connect { source, .. }
         if source.kind() == ErrorKind::ConnectionRefused);
     if refused {
-        settle(node, target, Fate::Ended);
+        settle(node, target, Resolution::Ended);
     }
 }
 
@@ -91,19 +91,19 @@
 pub(crate) fn ended(node: &Node, target: &Target) {
     // One that had said that it leaves has not ended under its runs.
     let fate = if target.state == Condition::Leaving {
-        Fate::Alive
+        Resolution::Alive
     } else {
-        Fate::Ended
+        Resolution::Ended
     };
     settle(node, target, fate);
 }
 
-fn settle(node: &Node, target: &Target, fate: Fate) {
+fn settle(node: &Node, target: &Target, fate: Resolution) {
     let settled = node.state.borrow_mut().cuts.settle(target.tag(), fate);
     if settled.is_empty() {
         return;
     }
-    if fate == Fate::Ended {
+    if fate == Resolution::Ended {
         node.metrics.add("targets_down", &target.service, 1);
         let line = node.journal.line("target_down");
         let line = line.with("target", target.id.as_ref());
--- a/crates/path/src/state/tests/suspects.rs
+++ b/crates/path/src/state/tests/suspects.rs
@@ -2,7 +2,7 @@
 
 use dunlinward_dispatch::content::{ContentTag, Digest};
 use dunlinward_dispatch::grants;
-use dunlinward_dispatch::quarantine::{Fate, Finding};
+use dunlinward_dispatch::quarantine::{Finding, Resolution};
 
 use super::*;
 
@@ -17,7 +17,7 @@
                 content: Digest(*content),
                 // Of each content other targets, none of which runs any more.
                 target: Tag(1_000 * u32::try_from(*content).expect("small") + target),
-                fate: Fate::Ended,
+                fate: Resolution::Ended,
             };
             fleet.owner.quarantine.take(finding, NOW);
         }
