--- a/crates/dispatch/src/cuts.rs
+++ b/crates/dispatch/src/cuts.rs
@@ -60,7 +60,7 @@
         let finding = Finding {
             content,
             target,
-            fate: Resolution::Open,
+            resolution: Resolution::Open,
         };
         let run = Run {
             finding,
@@ -76,17 +76,17 @@
     #[must_use]
     pub fn open(&self, target: Tag) -> bool {
         let mut runs = self.runs.iter();
-        runs.any(|it| it.finding.target == target && it.finding.fate == Resolution::Open)
+        runs.any(|it| it.finding.target == target && it.finding.resolution == Resolution::Open)
     }
 
     /// Resolves the open runs of a target whose state is known; returns the findings to be sent
     /// now.
-    pub fn settle(&mut self, target: Tag, fate: Resolution) -> Vec<Telling> {
+    pub fn settle(&mut self, target: Tag, resolution: Resolution) -> Vec<Telling> {
         let open = self.runs.iter_mut();
-        let open =
-            open.filter(|it| it.finding.target == target && it.finding.fate == Resolution::Open);
+        let open = open
+            .filter(|it| it.finding.target == target && it.finding.resolution == Resolution::Open);
         let resolved = open.map(|it| {
-            it.finding.fate = fate;
+            it.finding.resolution = resolution;
             it.sends = 1;
             it.report()
         });
@@ -97,7 +97,7 @@
     /// are open and within [`OPEN_TIMEOUT`].
     pub fn again(&mut self, now: Duration) -> Vec<Telling> {
         self.runs.retain(|it| {
-            let open = it.finding.fate == Resolution::Open && it.at + OPEN_TIMEOUT > now;
+            let open = it.finding.resolution == Resolution::Open && it.at + OPEN_TIMEOUT > now;
             open || it.sends < MAX_SENDS
         });
         let due = self.runs.iter_mut().filter(|it| it.sends < MAX_SENDS);
--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -88,7 +88,7 @@
     /// Target of the run.
     pub target: Tag,
     /// State of the target.
-    pub fate: Resolution,
+    pub resolution: Resolution,
 }
 
 /// Restrictions on sending a content.
@@ -260,9 +260,9 @@
         let Finding {
             content,
             target,
-            fate,
+            resolution,
         } = finding;
-        if fate == Resolution::Alive {
+        if resolution == Resolution::Alive {
             let record = self.records.get_mut(&content.tag())?;
             record.open.retain(|(tag, _)| *tag != target);
             return None;
@@ -272,7 +272,7 @@
             return None;
         }
         let known = record.open.iter().any(|(tag, _)| *tag == target);
-        if fate == Resolution::Open {
+        if resolution == Resolution::Open {
             if !known {
                 record.open.push((target, now));
             }
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -19,11 +19,11 @@
     Digest(number)
 }
 
-fn finding(number: u128, target: u32, fate: Resolution) -> Finding {
+fn finding(number: u128, target: u32, resolution: Resolution) -> Finding {
     Finding {
         content: content(number),
         target: Tag(target),
-        fate,
+        resolution,
     }
 }
 
@@ -252,15 +252,17 @@
     let mut cuts = Cuts::new();
     for number in 1..=2 {
         let report = cuts.note(content(number), Tag(1), cell, START);
-        assert_eq!(report.finding.fate, Resolution::Open);
+        assert_eq!(report.finding.resolution, Resolution::Open);
     }
     cuts.note(content(3), Tag(2), cell, START);
     assert_eq!(cuts.settle(Tag(1), Resolution::Ended).len(), 2);
     assert!(cuts.settle(Tag(1), Resolution::Alive).is_empty());
     let resolved = |sent: Vec<_>| {
         let sent = sent.into_iter();
-        sent.filter(|it: &dunlinward_dispatch::cuts::Telling| it.finding.fate == Resolution::Ended)
-            .count()
+        sent.filter(|it: &dunlinward_dispatch::cuts::Telling| {
+            it.finding.resolution == Resolution::Ended
+        })
+        .count()
     };
     let sent: Vec<_> = (0..4).map(|_| resolved(cuts.again(START))).collect();
     assert_eq!(sent, [2, 2, 0, 0]);
--- a/crates/dispatch/tests/quarantine_load.rs
+++ b/crates/dispatch/tests/quarantine_load.rs
@@ -230,7 +230,7 @@
             let finding = Finding {
                 content: Digest(run.content),
                 target: Tag(start),
-                fate: Resolution::Ended,
+                resolution: Resolution::Ended,
             };
             self.ledger.take(finding, now);
         }
--- a/crates/dispatch/tests/quarantine_merge.rs
+++ b/crates/dispatch/tests/quarantine_merge.rs
@@ -51,7 +51,7 @@
     Finding {
         content: Digest(random.random_range(0..CONTENTS)),
         target: Tag(random.random_range(0..TARGETS)),
-        fate: resolutions[random.random_range(0..resolutions.len())],
+        resolution: resolutions[random.random_range(0..resolutions.len())],
     }
 }
 
--- a/crates/dispatch/tests/restored.rs
+++ b/crates/dispatch/tests/restored.rs
@@ -393,7 +393,7 @@
         let finding = Finding {
             content,
             target: Tag(target),
-            fate: Resolution::Ended,
+            resolution: Resolution::Ended,
         };
         ledger.take(finding, Duration::ZERO);
     }
--- a/crates/path/src/state/tests/suspects.rs
+++ b/crates/path/src/state/tests/suspects.rs
@@ -17,7 +17,7 @@
                 content: Digest(*content),
                 // Of each content other targets, none of which runs any more.
                 target: Tag(1_000 * u32::try_from(*content).expect("small") + target),
-                fate: Resolution::Ended,
+                resolution: Resolution::Ended,
             };
             fleet.owner.quarantine.take(finding, NOW);
         }
