--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -93,7 +93,7 @@
 
 /// Restrictions on sending a content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Status {
     /// None: too few terminations to be a suspect.
     Free,
     /// Not sent to a target that runs another suspect.
@@ -176,7 +176,7 @@
         ends.filter(|it| !explained.contains(it)).count()
     }
 
-    fn standing(&self, explained: &HashSet<Tag>, now: Duration) -> Standing {
+    fn standing(&self, explained: &HashSet<Tag>, now: Duration) -> Status {
         let ends = self.counted_ends(explained);
         let open = self.open.iter();
         let open = open.filter(|(tag, at)| *at + OPEN_TIMEOUT > now && !self.ends.contains(tag));
@@ -184,16 +184,16 @@
         if self.guilty {
             let left = self.held_until().saturating_sub(now);
             return match (left.is_zero(), open) {
-                (false, _) => Standing::Quarantined(left),
+                (false, _) => Status::Quarantined(left),
                 // During a trial, whether its target terminated is known once its run is not open.
-                (true, 0) => Standing::Suspect,
-                (true, _) => Standing::Held,
+                (true, 0) => Status::Suspect,
+                (true, _) => Status::Held,
             };
         }
         match ends + open {
-            QUARANTINE_ENDS.. => Standing::Held,
-            SUSPECT_ENDS.. => Standing::Suspect,
-            _ => Standing::Free,
+            QUARANTINE_ENDS.. => Status::Held,
+            SUSPECT_ENDS.. => Status::Suspect,
+            _ => Status::Free,
         }
     }
 
@@ -242,17 +242,17 @@
 
     /// Restrictions on sending a content now.
     #[must_use]
-    pub fn standing(&self, content: Digest, now: Duration) -> Standing {
+    pub fn standing(&self, content: Digest, now: Duration) -> Status {
         let record = self.records.get(&content.tag());
         let record = record.filter(|it| it.content == content);
-        record.map_or(Standing::Free, |it| it.standing(&self.explained, now))
+        record.map_or(Status::Free, |it| it.standing(&self.explained, now))
     }
 
     /// Restrictions on sending the content that is recorded under a tag.
     #[must_use]
-    pub fn standing_of(&self, tag: ContentTag, now: Duration) -> Standing {
+    pub fn standing_of(&self, tag: ContentTag, now: Duration) -> Status {
         let record = self.records.get(&tag);
-        record.map_or(Standing::Free, |it| it.standing(&self.explained, now))
+        record.map_or(Status::Free, |it| it.standing(&self.explained, now))
     }
 
     /// Applies a router's finding.
@@ -409,7 +409,7 @@
         let records = self.records.values();
         let standing = records.map(|it| it.standing(&self.explained, now));
         standing
-            .filter(|it| matches!(it, Standing::Quarantined(_)))
+            .filter(|it| matches!(it, Status::Quarantined(_)))
             .count()
     }
 
--- a/crates/dispatch/tests/quarantine_load.rs
+++ b/crates/dispatch/tests/quarantine_load.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use dunlinward_dispatch::content::Digest;
-use dunlinward_dispatch::quarantine::{Finding, Ledger, Resolution, Standing};
+use dunlinward_dispatch::quarantine::{Finding, Ledger, Resolution, Status};
 use dunlinward_dispatch::target::Tag;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -161,7 +161,7 @@
 
     fn send(&mut self, content: u128, sends: u32, now: Duration) {
         let standing = self.ledger.standing(Digest(content), now);
-        if matches!(standing, Standing::Held | Standing::Quarantined(_)) {
+        if matches!(standing, Status::Held | Status::Quarantined(_)) {
             self.outcome.refused += u32::from(content < FIRST_HARMFUL);
             return;
         }
@@ -184,13 +184,13 @@
     }
 
     /// A random target that is up; for a suspect, one that runs no other suspect.
-    fn choose(&mut self, content: u128, standing: Standing, now: Duration) -> Option<u32> {
+    fn choose(&mut self, content: u128, standing: Status, now: Duration) -> Option<u32> {
         let runs = self.runs.values();
         let suspects = runs.filter(|it| {
-            it.content != content && self.ledger.standing(Digest(it.content), now) != Standing::Free
+            it.content != content && self.ledger.standing(Digest(it.content), now) != Status::Free
         });
         let excluded: HashSet<u32> = suspects.map(|it| it.target).collect();
-        let alone = standing != Standing::Free;
+        let alone = standing != Status::Free;
         let up = self.starts.iter().filter(|(_, until)| *until <= now);
         let up = up.map(|(start, _)| *start);
         let up: Vec<_> = up.filter(|it| !alone || !excluded.contains(it)).collect();
--- a/crates/dispatch/tests/quarantine_merge.rs
+++ b/crates/dispatch/tests/quarantine_merge.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dunlinward_dispatch::content::Digest;
-use dunlinward_dispatch::quarantine::{Finding, Ledger, QUARANTINE_ENDS, Resolution, Standing};
+use dunlinward_dispatch::quarantine::{Finding, Ledger, QUARANTINE_ENDS, Resolution, Status};
 use dunlinward_dispatch::target::Tag;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -100,7 +100,7 @@
             assert!(shared.windows(2).all(|it| it[0] == it[1]), "seed {seed}");
             let held = ledgers
                 .iter()
-                .filter(|it| matches!(it.standing(content, NOW), Standing::Quarantined(_)));
+                .filter(|it| matches!(it.standing(content, NOW), Status::Quarantined(_)));
             let ends = shared[0].as_ref().map_or(0, BTreeSet::len);
             if held.count() > 0 {
                 assert!(ends >= QUARANTINE_ENDS, "seed {seed}: {ends}");
--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -14,7 +14,7 @@
 use dunlinward_dispatch::content::ContentTag;
 use dunlinward_dispatch::health::Outcome;
 use dunlinward_dispatch::prefix::{Prefix, Prompt};
-use dunlinward_dispatch::quarantine::{self, Standing};
+use dunlinward_dispatch::quarantine::{self, Status};
 use dunlinward_dispatch::report::CustomerTag;
 use dunlinward_dispatch::share;
 use dunlinward_dispatch::target::Tag;
@@ -119,13 +119,11 @@
 /// Its caller learns after what time it may be tried again.
 pub(crate) fn unsafe_to_send(node: &Rc<Node>, job: &Job) -> Option<Refusal> {
     match node.standing_of(job.content) {
-        Standing::Free | Standing::Suspect => None,
-        Standing::Held => {
+        Status::Free | Status::Suspect => None,
+        Status::Held => {
             Some(Refusal::new(Reason::Suspected).with_retry_after(quarantine::OPEN_TIMEOUT))
         }
-        Standing::Quarantined(left) => {
-            Some(Refusal::new(Reason::Quarantined).with_retry_after(left))
-        }
+        Status::Quarantined(left) => Some(Refusal::new(Reason::Quarantined).with_retry_after(left)),
     }
 }
 
@@ -191,7 +189,7 @@
     fn new(node: &'a Node, job: &'a Job) -> Self {
         let draw = node.draw();
         let state = node.state.borrow();
-        let known = state.quarantine.standing(job.content, node.now()) != Standing::Free;
+        let known = state.quarantine.standing(job.content, node.now()) != Status::Free;
         let asked = known || !state.answered.contains(job.content);
         let content = asked.then(|| job.content.tag());
         // All that run a content that was not answered yet are placed by one owner.
--- a/crates/path/src/quarantine.rs
+++ b/crates/path/src/quarantine.rs
@@ -2,7 +2,7 @@
 //! operators see and lift.
 
 use dunlinward_dispatch::content::{ContentTag, Digest};
-use dunlinward_dispatch::quarantine::{Change, Entry, Finding, SUSPECT_ENDS, Standing};
+use dunlinward_dispatch::quarantine::{Change, Entry, Finding, SUSPECT_ENDS, Status};
 use dunlinward_dispatch::target::Tag;
 use tokio::sync::{Mutex, mpsc};
 
@@ -111,7 +111,7 @@
 
     /// An operator says that a content is sound; false if nothing is held against it.
     pub(crate) fn lift(&self, content: Digest) -> bool {
-        if self.standing_of(content) == Standing::Free {
+        if self.standing_of(content) == Status::Free {
             return false;
         }
         let line = self.journal.line("quarantine_lifted");
@@ -129,7 +129,7 @@
             .filter(|it| !it.ends.is_empty())
             .map(|it| {
                 let left = match state.quarantine.standing(it.content, now) {
-                    Standing::Quarantined(left) => left.as_secs(),
+                    Status::Quarantined(left) => left.as_secs(),
                     _ => 0,
                 };
                 let content = it.content.to_string();
@@ -167,7 +167,7 @@
 
     /// What may be done with a content.
     #[must_use]
-    pub(crate) fn standing_of(&self, content: Digest) -> Standing {
+    pub(crate) fn standing_of(&self, content: Digest) -> Status {
         let state = self.state.borrow();
         state.quarantine.standing(content, self.now())
     }
--- a/crates/path/src/state/suspects.rs
+++ b/crates/path/src/state/suspects.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dunlinward_dispatch::placement::Candidate;
-use dunlinward_dispatch::quarantine::Standing;
+use dunlinward_dispatch::quarantine::Status;
 use dunlinward_dispatch::target::Target;
 
 use super::{State, Wish};
@@ -13,7 +13,7 @@
     /// Whether a request must not be sent now for what its content may have done.
     pub(crate) fn held(&self, wish: &Wish, now: Duration) -> bool {
         let standing = wish.content.map(|it| self.quarantine.standing_of(it, now));
-        matches!(standing, Some(Standing::Held | Standing::Quarantined(_)))
+        matches!(standing, Some(Status::Held | Status::Quarantined(_)))
     }
 
     /// Of these targets those at which a suspected content may run: the one where it runs already; else
@@ -28,7 +28,7 @@
         let Some(content) = wish.content else {
             return targets;
         };
-        let suspect = |it| self.quarantine.standing_of(it, now) != Standing::Free;
+        let suspect = |it| self.quarantine.standing_of(it, now) != Status::Free;
         if !suspect(content) {
             return targets;
         }
