--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -176,7 +176,7 @@
         ends.filter(|it| !explained.contains(it)).count()
     }
 
-    fn standing(&self, explained: &HashSet<Tag>, now: Duration) -> Status {
+    fn status(&self, explained: &HashSet<Tag>, now: Duration) -> Status {
         let ends = self.counted_ends(explained);
         let open = self.open.iter();
         let open = open.filter(|(tag, at)| *at + OPEN_TIMEOUT > now && !self.ends.contains(tag));
@@ -242,17 +242,17 @@
 
     /// Restrictions on sending a content now.
     #[must_use]
-    pub fn standing(&self, content: Digest, now: Duration) -> Status {
+    pub fn status(&self, content: Digest, now: Duration) -> Status {
         let record = self.records.get(&content.tag());
         let record = record.filter(|it| it.content == content);
-        record.map_or(Status::Free, |it| it.standing(&self.explained, now))
+        record.map_or(Status::Free, |it| it.status(&self.explained, now))
     }
 
     /// Restrictions on sending the content that is recorded under a tag.
     #[must_use]
     pub fn standing_of(&self, tag: ContentTag, now: Duration) -> Status {
         let record = self.records.get(&tag);
-        record.map_or(Status::Free, |it| it.standing(&self.explained, now))
+        record.map_or(Status::Free, |it| it.status(&self.explained, now))
     }
 
     /// Applies a router's finding.
@@ -407,8 +407,8 @@
     #[must_use]
     pub fn quarantined(&self, now: Duration) -> usize {
         let records = self.records.values();
-        let standing = records.map(|it| it.standing(&self.explained, now));
-        standing
+        let status = records.map(|it| it.status(&self.explained, now));
+        status
             .filter(|it| matches!(it, Status::Quarantined(_)))
             .count()
     }
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -42,7 +42,7 @@
     let mut steps = Vec::new();
     for target in 0..3 {
         let change = ledger.take(finding(1, target, Resolution::Ended), START);
-        steps.push((change, ledger.standing(content(1), START)));
+        steps.push((change, ledger.status(content(1), START)));
     }
     assert_eq!(
         steps,
@@ -55,7 +55,7 @@
             ),
         ]
     );
-    assert_eq!(ledger.standing(content(2), START), Status::Free);
+    assert_eq!(ledger.status(content(2), START), Status::Free);
 }
 
 #[test]
@@ -65,7 +65,7 @@
         ledger.take(finding(1, 7, Resolution::Open), START);
         ledger.take(finding(1, 7, Resolution::Ended), START);
     }
-    assert_eq!(ledger.standing(content(1), START), Status::Free);
+    assert_eq!(ledger.status(content(1), START), Status::Free);
 }
 
 #[test]
@@ -75,37 +75,37 @@
         ledger.answered(content(1).tag(), START),
         Some(Change::Cleared)
     );
-    assert_eq!(ledger.standing(content(1), START), Status::Free);
+    assert_eq!(ledger.status(content(1), START), Status::Free);
     ledger.take(finding(1, 9, Resolution::Ended), START);
-    assert_eq!(ledger.standing(content(1), START), Status::Free);
+    assert_eq!(ledger.status(content(1), START), Status::Free);
 }
 
 #[test]
 fn an_open_run_counts_until_its_target_is_found_alive_or_it_times_out() {
     let mut ledger = ledger_with_ends(1, 2);
     ledger.take(finding(1, 8, Resolution::Open), START);
-    assert_eq!(ledger.standing(content(1), START), Status::Held);
+    assert_eq!(ledger.status(content(1), START), Status::Held);
     let later = START + OPEN_TIMEOUT;
-    assert_eq!(ledger.standing(content(1), later), Status::Suspect);
+    assert_eq!(ledger.status(content(1), later), Status::Suspect);
     ledger.take(finding(1, 8, Resolution::Alive), START);
-    assert_eq!(ledger.standing(content(1), START), Status::Suspect);
+    assert_eq!(ledger.status(content(1), START), Status::Suspect);
 }
 
 #[test]
 fn each_failed_trial_lengthens_a_quarantine() {
     let mut ledger = ledger_with_ends(1, 3);
     let trial = START + FIRST_HOLD;
-    assert_eq!(ledger.standing(content(1), trial), Status::Suspect);
+    assert_eq!(ledger.status(content(1), trial), Status::Suspect);
     let change = ledger.take(finding(1, 3, Resolution::Ended), trial);
     assert_eq!(change, Some(Change::Quarantined(4)));
-    let Status::Quarantined(left) = ledger.standing(content(1), trial) else {
+    let Status::Quarantined(left) = ledger.status(content(1), trial) else {
         panic!("the content is not quarantined after a failed trial");
     };
     assert!(left > FIRST_HOLD * 4);
     let day = START + Duration::from_hours(24);
     ledger.prune(day);
     assert!(matches!(
-        ledger.standing(content(1), trial + FIRST_HOLD),
+        ledger.status(content(1), trial + FIRST_HOLD),
         Status::Quarantined(_)
     ));
 }
@@ -136,7 +136,7 @@
     assert_eq!(first.digest(), second.digest());
     assert_ne!(first.digest(), 0);
     assert!(matches!(
-        first.standing(content(1), START),
+        first.status(content(1), START),
         Status::Quarantined(_)
     ));
 }
@@ -150,7 +150,7 @@
     for entry in &old {
         assert_eq!(current.join(entry, START), None);
     }
-    assert_eq!(current.standing(content(1), START), Status::Free);
+    assert_eq!(current.status(content(1), START), Status::Free);
     let mut outdated = outdated;
     let new: Vec<_> = current.entries(START).collect();
     for entry in &new {
@@ -166,7 +166,7 @@
         ledger.take(finding(number, 1, Resolution::Ended), START);
     }
     assert!(matches!(
-        ledger.standing(content(1), START),
+        ledger.status(content(1), START),
         Status::Quarantined(_)
     ));
     ledger.prune(START + Duration::from_hours(2));
@@ -178,7 +178,7 @@
     let other = Digest((1 << 64) + 1);
     assert_eq!(other.tag(), content(1).tag());
     let mut ledger = ledger_with_ends(1, 3);
-    assert_eq!(ledger.standing(other, START), Status::Free);
+    assert_eq!(ledger.status(other, START), Status::Free);
     let finding = Finding {
         content: other,
         ..finding(1, 9, Resolution::Ended)
@@ -279,13 +279,13 @@
     for target in 0..2 {
         ledger.take(finding(2, target, Resolution::Ended), START);
     }
-    assert_eq!(ledger.standing(content(2), START), Status::Suspect);
+    assert_eq!(ledger.status(content(2), START), Status::Suspect);
     ledger.take(finding(1, 2, Resolution::Ended), START);
-    assert_eq!(ledger.standing(content(2), START), Status::Free);
+    assert_eq!(ledger.status(content(2), START), Status::Free);
     // The first content explains the terminations of targets 0 to 2, so only that of target 3
     // counts.
     for target in 2..4 {
         ledger.take(finding(2, target, Resolution::Ended), START);
     }
-    assert_eq!(ledger.standing(content(2), START), Status::Free);
+    assert_eq!(ledger.status(content(2), START), Status::Free);
 }
--- a/crates/dispatch/tests/quarantine_load.rs
+++ b/crates/dispatch/tests/quarantine_load.rs
@@ -160,12 +160,12 @@
     }
 
     fn send(&mut self, content: u128, sends: u32, now: Duration) {
-        let standing = self.ledger.standing(Digest(content), now);
-        if matches!(standing, Status::Held | Status::Quarantined(_)) {
+        let status = self.ledger.status(Digest(content), now);
+        if matches!(status, Status::Held | Status::Quarantined(_)) {
             self.outcome.refused += u32::from(content < FIRST_HARMFUL);
             return;
         }
-        let Some(target) = self.choose(content, standing, now) else {
+        let Some(target) = self.choose(content, status, now) else {
             return;
         };
         let run = Run {
@@ -184,13 +184,13 @@
     }
 
     /// A random target that is up; for a suspect, one that runs no other suspect.
-    fn choose(&mut self, content: u128, standing: Status, now: Duration) -> Option<u32> {
+    fn choose(&mut self, content: u128, status: Status, now: Duration) -> Option<u32> {
         let runs = self.runs.values();
         let suspects = runs.filter(|it| {
-            it.content != content && self.ledger.standing(Digest(it.content), now) != Status::Free
+            it.content != content && self.ledger.status(Digest(it.content), now) != Status::Free
         });
         let excluded: HashSet<u32> = suspects.map(|it| it.target).collect();
-        let alone = standing != Status::Free;
+        let alone = status != Status::Free;
         let up = self.starts.iter().filter(|(_, until)| *until <= now);
         let up = up.map(|(start, _)| *start);
         let up: Vec<_> = up.filter(|it| !alone || !excluded.contains(it)).collect();
--- a/crates/dispatch/tests/quarantine_merge.rs
+++ b/crates/dispatch/tests/quarantine_merge.rs
@@ -100,7 +100,7 @@
             assert!(shared.windows(2).all(|it| it[0] == it[1]), "seed {seed}");
             let held = ledgers
                 .iter()
-                .filter(|it| matches!(it.standing(content, NOW), Status::Quarantined(_)));
+                .filter(|it| matches!(it.status(content, NOW), Status::Quarantined(_)));
             let ends = shared[0].as_ref().map_or(0, BTreeSet::len);
             if held.count() > 0 {
                 assert!(ends >= QUARANTINE_ENDS, "seed {seed}: {ends}");
--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -189,7 +189,7 @@
     fn new(node: &'a Node, job: &'a Job) -> Self {
         let draw = node.draw();
         let state = node.state.borrow();
-        let known = state.quarantine.standing(job.content, node.now()) != Status::Free;
+        let known = state.quarantine.status(job.content, node.now()) != Status::Free;
         let asked = known || !state.answered.contains(job.content);
         let content = asked.then(|| job.content.tag());
         // All that run a content that was not answered yet are placed by one owner.
--- a/crates/path/src/quarantine.rs
+++ b/crates/path/src/quarantine.rs
@@ -128,7 +128,7 @@
         let mut lines: Vec<_> = entries
             .filter(|it| !it.ends.is_empty())
             .map(|it| {
-                let left = match state.quarantine.standing(it.content, now) {
+                let left = match state.quarantine.status(it.content, now) {
                     Status::Quarantined(left) => left.as_secs(),
                     _ => 0,
                 };
@@ -169,6 +169,6 @@
     #[must_use]
     pub(crate) fn standing_of(&self, content: Digest) -> Status {
         let state = self.state.borrow();
-        state.quarantine.standing(content, self.now())
+        state.quarantine.status(content, self.now())
     }
 }
