--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -250,7 +250,7 @@
 
     /// Restrictions on sending the content that is recorded under a tag.
     #[must_use]
-    pub fn standing_of(&self, tag: ContentTag, now: Duration) -> Status {
+    pub fn status_by_tag(&self, tag: ContentTag, now: Duration) -> Status {
         let record = self.records.get(&tag);
         record.map_or(Status::Free, |it| it.status(&self.explained, now))
     }
--- a/crates/path/src/state/suspects.rs
+++ b/crates/path/src/state/suspects.rs
@@ -12,7 +12,9 @@
 impl State {
     /// Whether a request must not be sent now for what its content may have done.
     pub(crate) fn held(&self, wish: &Wish, now: Duration) -> bool {
-        let standing = wish.content.map(|it| self.quarantine.standing_of(it, now));
+        let standing = wish
+            .content
+            .map(|it| self.quarantine.status_by_tag(it, now));
         matches!(standing, Some(Status::Held | Status::Quarantined(_)))
     }
 
@@ -28,7 +30,7 @@
         let Some(content) = wish.content else {
             return targets;
         };
-        let suspect = |it| self.quarantine.standing_of(it, now) != Status::Free;
+        let suspect = |it| self.quarantine.status_by_tag(it, now) != Status::Free;
         if !suspect(content) {
             return targets;
         }
