--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -115,7 +115,7 @@
     /// Targets that terminated under it since it was last cleared.
     pub ends: BTreeSet<Tag>,
     /// Whether it is or was quarantined because of these.
-    pub guilty: bool,
+    pub confirmed: bool,
     /// Time since the last termination was found, or since it was cleared.
     pub age: Duration,
 }
@@ -140,7 +140,7 @@
     /// When the last termination was found, or when it was cleared.
     changed: Duration,
     /// Whether it is or was quarantined for its terminations, which then count against it alone.
-    guilty: bool,
+    confirmed: bool,
     /// Whether it is shared with all routers.
     shared: bool,
 }
@@ -153,7 +153,7 @@
             ends: BTreeSet::new(),
             open: Vec::new(),
             changed: now,
-            guilty: false,
+            confirmed: false,
             shared: false,
         }
     }
@@ -169,7 +169,7 @@
     /// Number of terminations that count against it: all if it is or was quarantined, otherwise
     /// those that no quarantined content explains.
     fn counted_ends(&self, explained: &HashSet<Tag>) -> usize {
-        if self.guilty {
+        if self.confirmed {
             return self.ends.len();
         }
         let ends = self.ends.iter();
@@ -181,7 +181,7 @@
         let open = self.open.iter();
         let open = open.filter(|(tag, at)| *at + OPEN_TIMEOUT > now && !self.ends.contains(tag));
         let open = open.count();
-        if self.guilty {
+        if self.confirmed {
             let left = self.held_until().saturating_sub(now);
             return match (left.is_zero(), open) {
                 (false, _) => Status::Quarantined(left),
@@ -199,7 +199,7 @@
 
     /// End of its retention.
     fn retained_until(&self) -> Duration {
-        if self.guilty {
+        if self.confirmed {
             return self.held_until() + HOLD_RETENTION;
         }
         if self.ends.is_empty() {
@@ -215,7 +215,7 @@
         let mut bytes = Vec::new();
         bytes.extend(self.content.0.to_le_bytes());
         bytes.extend(self.generation.to_le_bytes());
-        bytes.push(u8::from(self.guilty));
+        bytes.push(u8::from(self.confirmed));
         for tag in &self.ends {
             bytes.extend(tag.0.to_le_bytes());
         }
@@ -292,9 +292,9 @@
     fn evaluate(&mut self, tag: ContentTag) -> Option<Change> {
         let record = self.records.get_mut(&tag)?;
         let ends = record.counted_ends(&self.explained);
-        record.guilty |= ends >= QUARANTINE_ENDS;
+        record.confirmed |= ends >= QUARANTINE_ENDS;
         record.shared |= ends >= SUSPECT_ENDS;
-        if record.guilty {
+        if record.confirmed {
             return Some(Change::Quarantined(record.ends.len()));
         }
         Some(Change::Charged(ends))
@@ -308,7 +308,7 @@
             return None;
         }
         record.ends.clear();
-        record.guilty = false;
+        record.confirmed = false;
         record.generation += 1;
         record.changed = now;
         if record.shared {
@@ -329,7 +329,7 @@
     pub fn join(&mut self, entry: &Entry, now: Duration) -> Option<Change> {
         let changed = now.saturating_sub(entry.age);
         let record = self.record_mut(entry.content, changed)?;
-        let before = (record.guilty, record.ends.len());
+        let before = (record.confirmed, record.ends.len());
         if entry.generation < record.generation {
             return None;
         }
@@ -337,20 +337,20 @@
             record.generation = entry.generation;
             record.ends.clear();
             record.open.clear();
-            record.guilty = false;
+            record.confirmed = false;
             record.changed = changed;
         }
         if !entry.ends.is_subset(&record.ends) {
             record.ends.extend(&entry.ends);
             record.changed = record.changed.max(changed);
         }
-        record.guilty |= entry.guilty;
+        record.confirmed |= entry.confirmed;
         record.shared = true;
         if record.retained_until() <= now {
             self.records.remove(&entry.content.tag());
         }
         let after = self.records.get(&entry.content.tag());
-        let after = after.map_or((false, 0), |it| (it.guilty, it.ends.len()));
+        let after = after.map_or((false, 0), |it| (it.confirmed, it.ends.len()));
         let change = match after.cmp(&before) {
             Ordering::Less => Some(Change::Cleared),
             Ordering::Equal => None,
@@ -366,7 +366,7 @@
             content: it.content,
             generation: it.generation,
             ends: it.ends.clone(),
-            guilty: it.guilty,
+            confirmed: it.confirmed,
             age: now.saturating_sub(it.changed),
         })
     }
@@ -377,10 +377,10 @@
     pub fn unkept(&self, stored: &[Entry], now: Duration) -> Vec<Entry> {
         let found = |own: &Entry| stored.iter().find(|it| it.content == own.content);
         let missing = self.entries(now).filter(|own| match found(own) {
-            None => own.guilty,
+            None => own.confirmed,
             Some(found) => {
                 let earlier = found.generation < own.generation;
-                earlier || own.guilty && !own.ends.is_subset(&found.ends)
+                earlier || own.confirmed && !own.ends.is_subset(&found.ends)
             }
         });
         missing.collect()
@@ -398,8 +398,8 @@
 
     /// Recomputes the explained terminations and the digest.
     fn refresh(&mut self) {
-        let guilty = self.records.values().filter(|it| it.guilty);
-        self.explained = guilty.flat_map(|it| it.ends.iter().copied()).collect();
+        let confirmed = self.records.values().filter(|it| it.confirmed);
+        self.explained = confirmed.flat_map(|it| it.ends.iter().copied()).collect();
         self.digest = self.shared().fold(0, |sum, it| sum ^ it.hash());
     }
 
--- a/crates/path/src/quarantine.rs
+++ b/crates/path/src/quarantine.rs
@@ -102,7 +102,7 @@
                 continue;
             };
             // Who tells of a quarantine has it written. This one is the sum of what both knew.
-            if !entry.guilty && matches!(change, Change::Quarantined(_)) {
+            if !entry.confirmed && matches!(change, Change::Quarantined(_)) {
                 to_be_written(self, entry.content, change);
             }
             tell_change(self, entry.content, None, change);
