--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -124,7 +124,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     /// Another target terminated under it; holds their number.
-    Charged(usize),
+    EndRecorded(usize),
     /// It is quarantined; holds the number of targets that terminated under it.
     Quarantined(usize),
     /// It was answered, or an operator lifted its quarantine.
@@ -282,7 +282,7 @@
         record.ends.insert(target);
         record.changed = now;
         let change = self.evaluate(content.tag());
-        if change != Some(Change::Charged(1)) {
+        if change != Some(Change::EndRecorded(1)) {
             self.refresh();
         }
         change
@@ -297,7 +297,7 @@
         if record.confirmed {
             return Some(Change::Quarantined(record.ends.len()));
         }
-        Some(Change::Charged(ends))
+        Some(Change::EndRecorded(ends))
     }
 
     /// Records an answer, which clears a content: it does not terminate its targets.
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -47,8 +47,8 @@
     assert_eq!(
         steps,
         [
-            (Some(Change::Charged(1)), Status::Free),
-            (Some(Change::Charged(SUSPECT_ENDS)), Status::Suspect),
+            (Some(Change::EndRecorded(1)), Status::Free),
+            (Some(Change::EndRecorded(SUSPECT_ENDS)), Status::Suspect),
             (
                 Some(Change::Quarantined(QUARANTINE_ENDS)),
                 Status::Quarantined(FIRST_HOLD)
--- a/crates/path/src/quarantine.rs
+++ b/crates/path/src/quarantine.rs
@@ -61,7 +61,7 @@
     let state = node.state.borrow();
     let mut entries = state.quarantine.entries(now);
     let entry = entries.find(|it| it.content == content);
-    let Some(entry) = entry.filter(|_| !matches!(change, Change::Charged(_))) else {
+    let Some(entry) = entry.filter(|_| !matches!(change, Change::EndRecorded(_))) else {
         return;
     };
     if node.unwritten.sender.send(entry).is_err() {
@@ -72,7 +72,7 @@
 
 fn tell_change(node: &Node, content: Digest, target: Option<Tag>, change: Change) {
     let (event, ends) = match change {
-        Change::Charged(ends) => ("content_charged", ends),
+        Change::EndRecorded(ends) => ("content_charged", ends),
         Change::Quarantined(ends) => ("content_quarantined", ends),
         Change::Cleared => ("content_cleared", 0),
     };
@@ -87,7 +87,7 @@
     let line = line.with("target", target.map(|it| it.id.to_string()));
     drop(line.with("quarantined", quarantined));
     // A first end is the owner's alone to know.
-    if !matches!(change, Change::Charged(ends) if ends < SUSPECT_ENDS) {
+    if !matches!(change, Change::EndRecorded(ends) if ends < SUSPECT_ENDS) {
         gossip::spread(node);
     }
 }
