--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -256,7 +256,7 @@
     }
 
     /// Applies a router's finding.
-    pub fn take(&mut self, finding: Finding, now: Duration) -> Option<Change> {
+    pub fn apply(&mut self, finding: Finding, now: Duration) -> Option<Change> {
         let Finding {
             content,
             target,
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -31,7 +31,7 @@
 fn ledger_with_ends(number: u128, ends: u32) -> Ledger {
     let mut ledger = Ledger::new();
     for target in 0..ends {
-        ledger.take(finding(number, target, Resolution::Ended), START);
+        ledger.apply(finding(number, target, Resolution::Ended), START);
     }
     ledger
 }
@@ -41,7 +41,7 @@
     let mut ledger = Ledger::new();
     let mut steps = Vec::new();
     for target in 0..3 {
-        let change = ledger.take(finding(1, target, Resolution::Ended), START);
+        let change = ledger.apply(finding(1, target, Resolution::Ended), START);
         steps.push((change, ledger.status(content(1), START)));
     }
     assert_eq!(
@@ -62,8 +62,8 @@
 fn a_target_counts_once_for_all_its_runs() {
     let mut ledger = Ledger::new();
     for _ in 0..5 {
-        ledger.take(finding(1, 7, Resolution::Open), START);
-        ledger.take(finding(1, 7, Resolution::Ended), START);
+        ledger.apply(finding(1, 7, Resolution::Open), START);
+        ledger.apply(finding(1, 7, Resolution::Ended), START);
     }
     assert_eq!(ledger.status(content(1), START), Status::Free);
 }
@@ -76,18 +76,18 @@
         Some(Change::Cleared)
     );
     assert_eq!(ledger.status(content(1), START), Status::Free);
-    ledger.take(finding(1, 9, Resolution::Ended), START);
+    ledger.apply(finding(1, 9, Resolution::Ended), START);
     assert_eq!(ledger.status(content(1), START), Status::Free);
 }
 
 #[test]
 fn an_open_run_counts_until_its_target_is_found_alive_or_it_times_out() {
     let mut ledger = ledger_with_ends(1, 2);
-    ledger.take(finding(1, 8, Resolution::Open), START);
+    ledger.apply(finding(1, 8, Resolution::Open), START);
     assert_eq!(ledger.status(content(1), START), Status::Held);
     let later = START + OPEN_TIMEOUT;
     assert_eq!(ledger.status(content(1), later), Status::Suspect);
-    ledger.take(finding(1, 8, Resolution::Alive), START);
+    ledger.apply(finding(1, 8, Resolution::Alive), START);
     assert_eq!(ledger.status(content(1), START), Status::Suspect);
 }
 
@@ -96,7 +96,7 @@
     let mut ledger = ledger_with_ends(1, 3);
     let trial = START + FIRST_HOLD;
     assert_eq!(ledger.status(content(1), trial), Status::Suspect);
-    let change = ledger.take(finding(1, 3, Resolution::Ended), trial);
+    let change = ledger.apply(finding(1, 3, Resolution::Ended), trial);
     assert_eq!(change, Some(Change::Quarantined(4)));
     let Status::Quarantined(left) = ledger.status(content(1), trial) else {
         panic!("the content is not quarantined after a failed trial");
@@ -115,9 +115,9 @@
     let mut first = ledger_with_ends(1, 2);
     let mut second = Ledger::new();
     for target in [1, 2] {
-        second.take(finding(1, target, Resolution::Ended), START);
+        second.apply(finding(1, target, Resolution::Ended), START);
     }
-    second.take(finding(2, 5, Resolution::Ended), START);
+    second.apply(finding(2, 5, Resolution::Ended), START);
     let [of_first, of_second]: [Vec<_>; 2] =
         [&first, &second].map(|it| it.entries(START).collect());
     // A content with one termination is not shared.
@@ -163,7 +163,7 @@
 fn the_record_limit_evicts_contents_with_the_fewest_ends() {
     let mut ledger = ledger_with_ends(1, 3);
     for number in 2..20_000 {
-        ledger.take(finding(number, 1, Resolution::Ended), START);
+        ledger.apply(finding(number, 1, Resolution::Ended), START);
     }
     assert!(matches!(
         ledger.status(content(1), START),
@@ -183,7 +183,7 @@
         content: other,
         ..finding(1, 9, Resolution::Ended)
     };
-    assert_eq!(ledger.take(finding, START), None);
+    assert_eq!(ledger.apply(finding, START), None);
 }
 
 #[test]
@@ -277,15 +277,15 @@
 fn contents_that_ran_beside_a_quarantined_one_are_released() {
     let mut ledger = ledger_with_ends(1, 2);
     for target in 0..2 {
-        ledger.take(finding(2, target, Resolution::Ended), START);
+        ledger.apply(finding(2, target, Resolution::Ended), START);
     }
     assert_eq!(ledger.status(content(2), START), Status::Suspect);
-    ledger.take(finding(1, 2, Resolution::Ended), START);
+    ledger.apply(finding(1, 2, Resolution::Ended), START);
     assert_eq!(ledger.status(content(2), START), Status::Free);
     // The first content explains the terminations of targets 0 to 2, so only that of target 3
     // counts.
     for target in 2..4 {
-        ledger.take(finding(2, target, Resolution::Ended), START);
+        ledger.apply(finding(2, target, Resolution::Ended), START);
     }
     assert_eq!(ledger.status(content(2), START), Status::Free);
 }
--- a/crates/dispatch/tests/quarantine_load.rs
+++ b/crates/dispatch/tests/quarantine_load.rs
@@ -232,7 +232,7 @@
                 target: Tag(start),
                 resolution: Resolution::Ended,
             };
-            self.ledger.take(finding, now);
+            self.ledger.apply(finding, now);
         }
         for run in failed.values().filter(|it| it.sends < MAX_SENDS) {
             self.send(run.content, run.sends + 1, now);
--- a/crates/dispatch/tests/quarantine_merge.rs
+++ b/crates/dispatch/tests/quarantine_merge.rs
@@ -67,7 +67,7 @@
             }
             1 => send(router, random.random_range(0..ROUTERS), &mut ledgers),
             _ => {
-                ledgers[router].take(random_finding(&mut random), NOW);
+                ledgers[router].apply(random_finding(&mut random), NOW);
             }
         }
     }
--- a/crates/dispatch/tests/restored.rs
+++ b/crates/dispatch/tests/restored.rs
@@ -395,7 +395,7 @@
             target: Tag(target),
             resolution: Resolution::Ended,
         };
-        ledger.take(finding, Duration::ZERO);
+        ledger.apply(finding, Duration::ZERO);
     }
     ledger
 }
--- a/crates/path/src/quarantine.rs
+++ b/crates/path/src/quarantine.rs
@@ -33,7 +33,7 @@
             .state
             .borrow_mut()
             .quarantine
-            .take(*finding, node.now());
+            .apply(*finding, node.now());
         if let Some(change) = change {
             to_be_written(node, finding.content, change);
             tell_change(node, finding.content, Some(finding.target), change);
--- a/crates/path/src/state/tests/suspects.rs
+++ b/crates/path/src/state/tests/suspects.rs
@@ -19,7 +19,7 @@
                 target: Tag(1_000 * u32::try_from(*content).expect("small") + target),
                 resolution: Resolution::Ended,
             };
-            fleet.owner.quarantine.take(finding, NOW);
+            fleet.owner.quarantine.apply(finding, NOW);
         }
     }
     fleet
