--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -301,7 +301,7 @@
     }
 
     /// Records an answer, which clears a content: it does not terminate its targets.
-    pub fn answered(&mut self, tag: ContentTag, now: Duration) -> Option<Change> {
+    pub fn record_answer(&mut self, tag: ContentTag, now: Duration) -> Option<Change> {
         let record = self.records.get_mut(&tag)?;
         record.open.clear();
         if record.ends.is_empty() {
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -72,7 +72,7 @@
 fn an_answer_clears_a_content() {
     let mut ledger = ledger_with_ends(1, 3);
     assert_eq!(
-        ledger.answered(content(1).tag(), START),
+        ledger.record_answer(content(1).tag(), START),
         Some(Change::Cleared)
     );
     assert_eq!(ledger.status(content(1), START), Status::Free);
@@ -145,7 +145,7 @@
 fn an_outdated_entry_does_not_restore_the_ends_of_a_cleared_content() {
     let outdated = ledger_with_ends(1, 3);
     let mut current = ledger_with_ends(1, 3);
-    current.answered(content(1).tag(), START);
+    current.record_answer(content(1).tag(), START);
     let old: Vec<_> = outdated.entries(START).collect();
     for entry in &old {
         assert_eq!(current.join(entry, START), None);
--- a/crates/dispatch/tests/quarantine_load.rs
+++ b/crates/dispatch/tests/quarantine_load.rs
@@ -205,7 +205,7 @@
             return;
         };
         if run.content < FIRST_HARMFUL {
-            self.ledger.answered(Digest(run.content).tag(), now);
+            self.ledger.record_answer(Digest(run.content).tag(), now);
             return;
         }
         self.runs.insert(number, run);
--- a/crates/dispatch/tests/quarantine_merge.rs
+++ b/crates/dispatch/tests/quarantine_merge.rs
@@ -63,7 +63,7 @@
         match random.random_range(0..4) {
             0 if answers => {
                 let content = Digest(random.random_range(0..CONTENTS));
-                ledgers[router].answered(content.tag(), NOW);
+                ledgers[router].record_answer(content.tag(), NOW);
             }
             1 => send(router, random.random_range(0..ROUTERS), &mut ledgers),
             _ => {
--- a/crates/dispatch/tests/restored.rs
+++ b/crates/dispatch/tests/restored.rs
@@ -408,7 +408,7 @@
     let stored: Vec<Entry> = ledger.entries(now).collect();
     assert!(ledger.unkept(&stored, now).is_empty(), "all is kept");
     assert_eq!(ledger.unkept(&[], now), stored, "the copy lacks it");
-    ledger.answered(content.tag(), now);
+    ledger.record_answer(content.tag(), now);
     let dropped = ledger.unkept(&stored, now);
     assert_eq!(dropped.len(), 1, "the copy keeps what was ended");
     assert!(dropped[0].ends.is_empty());
--- a/crates/path/src/quarantine.rs
+++ b/crates/path/src/quarantine.rs
@@ -47,7 +47,7 @@
     let (digest, change) = {
         let mut state = node.state.borrow_mut();
         let digest = state.quarantine.content(content);
-        (digest, state.quarantine.answered(content, now))
+        (digest, state.quarantine.record_answer(content, now))
     };
     if let (Some(digest), Some(change)) = (digest, change) {
         to_be_written(node, digest, change);
