--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -326,7 +326,7 @@
     }
 
     /// Merges an entry of another router or of the store.
-    pub fn join(&mut self, entry: &Entry, now: Duration) -> Option<Change> {
+    pub fn merge(&mut self, entry: &Entry, now: Duration) -> Option<Change> {
         let changed = now.saturating_sub(entry.age);
         let record = self.record_mut(entry.content, changed)?;
         let before = (record.confirmed, record.ends.len());
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -123,12 +123,12 @@
     // A content with one termination is not shared.
     assert_eq!(of_second.len(), 1);
     for entry in &of_second {
-        first.join(entry, START);
+        first.merge(entry, START);
     }
     for entry in &of_first {
-        second.join(entry, START);
+        second.merge(entry, START);
         assert_eq!(
-            second.join(entry, START),
+            second.merge(entry, START),
             None,
             "the entry was merged before"
         );
@@ -148,13 +148,13 @@
     current.record_answer(content(1).tag(), START);
     let old: Vec<_> = outdated.entries(START).collect();
     for entry in &old {
-        assert_eq!(current.join(entry, START), None);
+        assert_eq!(current.merge(entry, START), None);
     }
     assert_eq!(current.status(content(1), START), Status::Free);
     let mut outdated = outdated;
     let new: Vec<_> = current.entries(START).collect();
     for entry in &new {
-        assert_eq!(outdated.join(entry, START), Some(Change::Cleared));
+        assert_eq!(outdated.merge(entry, START), Some(Change::Cleared));
     }
     assert_eq!(outdated.digest(), current.digest());
 }
--- a/crates/dispatch/tests/quarantine_merge.rs
+++ b/crates/dispatch/tests/quarantine_merge.rs
@@ -26,7 +26,7 @@
 fn send(from: usize, to: usize, ledgers: &mut [Ledger]) {
     let entries: Vec<_> = ledgers[from].entries(NOW).collect();
     for entry in &entries {
-        ledgers[to].join(entry, NOW);
+        ledgers[to].merge(entry, NOW);
     }
 }
 
--- a/crates/path/src/quarantine.rs
+++ b/crates/path/src/quarantine.rs
@@ -97,7 +97,7 @@
     pub fn take_quarantine(&self, entries: &[Entry]) {
         self.state.borrow_mut().quarantine_known = true;
         for entry in entries {
-            let change = self.state.borrow_mut().quarantine.join(entry, self.now());
+            let change = self.state.borrow_mut().quarantine.merge(entry, self.now());
             let Some(change) = change else {
                 continue;
             };
