--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -374,7 +374,7 @@
     /// Entries to be written to the store, which holds `stored`: quarantines and clearings that it
     /// lacks. After it was restored from a backup, it may lack a quarantine or hold a cleared one.
     #[must_use]
-    pub fn unkept(&self, stored: &[Entry], now: Duration) -> Vec<Entry> {
+    pub fn missing_from(&self, stored: &[Entry], now: Duration) -> Vec<Entry> {
         let found = |own: &Entry| stored.iter().find(|it| it.content == own.content);
         let missing = self.entries(now).filter(|own| match found(own) {
             None => own.confirmed,
--- a/crates/dispatch/tests/restored.rs
+++ b/crates/dispatch/tests/restored.rs
@@ -406,14 +406,14 @@
     let content = Digest(5);
     let mut ledger = quarantined(content);
     let stored: Vec<Entry> = ledger.entries(now).collect();
-    assert!(ledger.unkept(&stored, now).is_empty(), "all is kept");
-    assert_eq!(ledger.unkept(&[], now), stored, "the copy lacks it");
+    assert!(ledger.missing_from(&stored, now).is_empty(), "all is kept");
+    assert_eq!(ledger.missing_from(&[], now), stored, "the copy lacks it");
     ledger.record_answer(content.tag(), now);
-    let dropped = ledger.unkept(&stored, now);
+    let dropped = ledger.missing_from(&stored, now);
     assert_eq!(dropped.len(), 1, "the copy keeps what was ended");
     assert!(dropped[0].ends.is_empty());
     assert!(
-        ledger.unkept(&[], now).is_empty(),
+        ledger.missing_from(&[], now).is_empty(),
         "nothing is to be dropped"
     );
 }
--- a/crates/path/src/quarantine.rs
+++ b/crates/path/src/quarantine.rs
@@ -162,7 +162,7 @@
     #[must_use]
     pub fn unkept_quarantine(&self, stored: &[Entry]) -> Vec<Entry> {
         let state = self.state.borrow();
-        state.quarantine.unkept(stored, self.now())
+        state.quarantine.missing_from(stored, self.now())
     }
 
     /// What may be done with a content.
