--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -405,7 +405,7 @@
 
     /// Number of contents that are quarantined now.
     #[must_use]
-    pub fn quarantined(&self, now: Duration) -> usize {
+    pub fn quarantined_count(&self, now: Duration) -> usize {
         let records = self.records.values();
         let status = records.map(|it| it.status(&self.explained, now));
         status
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -170,7 +170,7 @@
         Status::Quarantined(_)
     ));
     ledger.prune(START + Duration::from_hours(2));
-    assert_eq!(ledger.quarantined(START), 1);
+    assert_eq!(ledger.quarantined_count(START), 1);
 }
 
 #[test]
--- a/crates/path/src/quarantine.rs
+++ b/crates/path/src/quarantine.rs
@@ -79,7 +79,7 @@
     node.metrics.add("contents", event, 1);
     let state = node.state.borrow();
     let target = target.and_then(|it| state.registry.get(it)).cloned();
-    let quarantined = state.quarantine.quarantined(node.now());
+    let quarantined = state.quarantine.quarantined_count(node.now());
     drop(state);
     let line = node.journal.line(event);
     let line = line.with("content", content.to_string());
