--- a/crates/dispatch/src/cuts.rs
+++ b/crates/dispatch/src/cuts.rs
@@ -23,7 +23,7 @@
 
 /// A finding, and the cell to whose owner it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Telling {
+pub struct Report {
     /// The cell of the target.
     pub cell: Cell,
     /// The finding.
@@ -31,8 +31,8 @@
 }
 
 impl Run {
-    fn report(&self) -> Telling {
-        Telling {
+    fn report(&self) -> Report {
+        Report {
             cell: self.cell,
             finding: self.finding,
         }
@@ -53,7 +53,7 @@
     }
 
     /// Records a run that broke off or was given up; returns its finding, to be sent now.
-    pub fn note(&mut self, content: Digest, target: Tag, cell: Cell, now: Duration) -> Telling {
+    pub fn note(&mut self, content: Digest, target: Tag, cell: Cell, now: Duration) -> Report {
         if self.runs.len() >= MAX_RUNS {
             self.runs.remove(0);
         }
@@ -81,7 +81,7 @@
 
     /// Resolves the open runs of a target whose state is known; returns the findings to be sent
     /// now.
-    pub fn settle(&mut self, target: Tag, resolution: Resolution) -> Vec<Telling> {
+    pub fn settle(&mut self, target: Tag, resolution: Resolution) -> Vec<Report> {
         let open = self.runs.iter_mut();
         let open = open
             .filter(|it| it.finding.target == target && it.finding.resolution == Resolution::Open);
@@ -95,7 +95,7 @@
 
     /// Findings to be sent once more. Removes those that were sent [`MAX_SENDS`] times, unless they
     /// are open and within [`OPEN_TIMEOUT`].
-    pub fn again(&mut self, now: Duration) -> Vec<Telling> {
+    pub fn again(&mut self, now: Duration) -> Vec<Report> {
         self.runs.retain(|it| {
             let open = it.finding.resolution == Resolution::Open && it.at + OPEN_TIMEOUT > now;
             open || it.sends < MAX_SENDS
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -259,7 +259,7 @@
     assert!(cuts.settle(Tag(1), Resolution::Alive).is_empty());
     let resolved = |sent: Vec<_>| {
         let sent = sent.into_iter();
-        sent.filter(|it: &dunlinward_dispatch::cuts::Telling| {
+        sent.filter(|it: &dunlinward_dispatch::cuts::Report| {
             it.finding.resolution == Resolution::Ended
         })
         .count()
--- a/crates/path/src/cut.rs
+++ b/crates/path/src/cut.rs
@@ -13,7 +13,7 @@
 
 use dunlinward_dispatch::cell::Cell;
 use dunlinward_dispatch::content::Digest;
-use dunlinward_dispatch::cuts::Telling;
+use dunlinward_dispatch::cuts::Report;
 use dunlinward_dispatch::health::Outcome;
 use dunlinward_dispatch::quarantine::{Finding, Resolution};
 use dunlinward_dispatch::report::Content;
@@ -113,7 +113,7 @@
 }
 
 /// Takes over what this router has found, and tells whoever owns the target's cell.
-fn tell(node: &Node, tellings: &[Telling]) {
+fn tell(node: &Node, tellings: &[Report]) {
     let Some(first) = tellings.first() else {
         return;
     };
