--- a/crates/dispatch/src/cuts.rs
+++ b/crates/dispatch/src/cuts.rs
@@ -41,11 +41,11 @@
 
 /// Runs that ended without an answer.
 #[derive(Clone, Debug, Default)]
-pub struct Cuts {
+pub struct Interruptions {
     runs: Vec<Run>,
 }
 
-impl Cuts {
+impl Interruptions {
     /// Creates an empty record.
     #[must_use]
     pub fn new() -> Self {
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -5,7 +5,7 @@
 use dunlinward_dispatch::cell::{Cell, ServiceTag};
 use dunlinward_dispatch::content::{Address, Digest};
 use dunlinward_dispatch::copies::{Answered, Copies};
-use dunlinward_dispatch::cuts::Cuts;
+use dunlinward_dispatch::cuts::Interruptions;
 use dunlinward_dispatch::quarantine::{
     Change, FIRST_HOLD, Finding, Ledger, OPEN_TIMEOUT, QUARANTINE_ENDS, Resolution, SUSPECT_ENDS,
     Status,
@@ -249,14 +249,14 @@
         region: Region::default(),
         index: 0,
     };
-    let mut cuts = Cuts::new();
+    let mut interruptions = Interruptions::new();
     for number in 1..=2 {
-        let report = cuts.note(content(number), Tag(1), cell, START);
+        let report = interruptions.note(content(number), Tag(1), cell, START);
         assert_eq!(report.finding.resolution, Resolution::Open);
     }
-    cuts.note(content(3), Tag(2), cell, START);
-    assert_eq!(cuts.settle(Tag(1), Resolution::Ended).len(), 2);
-    assert!(cuts.settle(Tag(1), Resolution::Alive).is_empty());
+    interruptions.note(content(3), Tag(2), cell, START);
+    assert_eq!(interruptions.settle(Tag(1), Resolution::Ended).len(), 2);
+    assert!(interruptions.settle(Tag(1), Resolution::Alive).is_empty());
     let resolved = |sent: Vec<_>| {
         let sent = sent.into_iter();
         sent.filter(|it: &dunlinward_dispatch::cuts::Report| {
@@ -264,11 +264,13 @@
         })
         .count()
     };
-    let sent: Vec<_> = (0..4).map(|_| resolved(cuts.again(START))).collect();
+    let sent: Vec<_> = (0..4)
+        .map(|_| resolved(interruptions.again(START)))
+        .collect();
     assert_eq!(sent, [2, 2, 0, 0]);
-    assert!(cuts.open(Tag(2)));
-    cuts.again(START + OPEN_TIMEOUT);
-    assert!(!cuts.open(Tag(2)));
+    assert!(interruptions.open(Tag(2)));
+    interruptions.again(START + OPEN_TIMEOUT);
+    assert!(!interruptions.open(Tag(2)));
 }
 
 /// Two contents ran together on two targets that terminated. The third termination under one of
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -15,7 +15,7 @@
 use dunlinward_dispatch::configuration::Table;
 use dunlinward_dispatch::content::ContentTag;
 use dunlinward_dispatch::copies::{Answered, Copies};
-use dunlinward_dispatch::cuts::Cuts;
+use dunlinward_dispatch::cuts::Interruptions;
 use dunlinward_dispatch::evacuation::{self, Evacuations};
 use dunlinward_dispatch::grants::Grants;
 use dunlinward_dispatch::health::{Health, Outcome};
@@ -158,7 +158,7 @@
     /// Whether what the store keeps of such contents is known, read or heard.
     pub(crate) quarantine_known: bool,
     /// Runs of this router that did not end with an answer.
-    pub(crate) cuts: Cuts,
+    pub(crate) cuts: Interruptions,
     /// Where contents run for which this router gave places.
     pub(crate) copies: Copies,
     /// Contents that this router's callers were answered.
@@ -209,7 +209,7 @@
             grants: Grants::new(settings.share_window),
             quarantine: Ledger::new(),
             quarantine_known: false,
-            cuts: Cuts::new(),
+            cuts: Interruptions::new(),
             copies: Copies::new(),
             answered: Answered::new(),
             engines_seen: 0,
