--- a/crates/dispatch/src/cuts.rs
+++ b/crates/dispatch/src/cuts.rs
@@ -53,7 +53,7 @@
     }
 
     /// Records a run that broke off or was given up; returns its finding, to be sent now.
-    pub fn note(&mut self, content: Digest, target: Tag, cell: Cell, now: Duration) -> Report {
+    pub fn record(&mut self, content: Digest, target: Tag, cell: Cell, now: Duration) -> Report {
         if self.runs.len() >= MAX_RUNS {
             self.runs.remove(0);
         }
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -251,10 +251,10 @@
     };
     let mut interruptions = Interruptions::new();
     for number in 1..=2 {
-        let report = interruptions.note(content(number), Tag(1), cell, START);
+        let report = interruptions.record(content(number), Tag(1), cell, START);
         assert_eq!(report.finding.resolution, Resolution::Open);
     }
-    interruptions.note(content(3), Tag(2), cell, START);
+    interruptions.record(content(3), Tag(2), cell, START);
     assert_eq!(interruptions.settle(Tag(1), Resolution::Ended).len(), 2);
     assert!(interruptions.settle(Tag(1), Resolution::Alive).is_empty());
     let resolved = |sent: Vec<_>| {
--- a/crates/path/src/cut.rs
+++ b/crates/path/src/cut.rs
@@ -49,7 +49,7 @@
         }
         state.answered.forget(content);
         let asked = state.cuts.open(tag);
-        (asked, state.cuts.note(content, tag, cell, now))
+        (asked, state.cuts.record(content, tag, cell, now))
     };
     tell(node, &[telling]);
     if !asked && how == Break::Closed {
