--- a/crates/dispatch/src/cuts.rs
+++ b/crates/dispatch/src/cuts.rs
@@ -74,7 +74,7 @@
 
     /// Whether a target has runs that are still open.
     #[must_use]
-    pub fn open(&self, target: Tag) -> bool {
+    pub fn has_open(&self, target: Tag) -> bool {
         let mut runs = self.runs.iter();
         runs.any(|it| it.finding.target == target && it.finding.resolution == Resolution::Open)
     }
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -268,9 +268,9 @@
         .map(|_| resolved(interruptions.again(START)))
         .collect();
     assert_eq!(sent, [2, 2, 0, 0]);
-    assert!(interruptions.open(Tag(2)));
+    assert!(interruptions.has_open(Tag(2)));
     interruptions.again(START + OPEN_TIMEOUT);
-    assert!(!interruptions.open(Tag(2)));
+    assert!(!interruptions.has_open(Tag(2)));
 }
 
 /// Two contents ran together on two targets that terminated. The third termination under one of
--- a/crates/path/src/cut.rs
+++ b/crates/path/src/cut.rs
@@ -48,7 +48,7 @@
             return;
         }
         state.answered.forget(content);
-        let asked = state.cuts.open(tag);
+        let asked = state.cuts.has_open(tag);
         (asked, state.cuts.record(content, tag, cell, now))
     };
     tell(node, &[telling]);
