--- a/crates/dispatch/src/cuts.rs
+++ b/crates/dispatch/src/cuts.rs
@@ -81,7 +81,7 @@
 
     /// Resolves the open runs of a target whose state is known; returns the findings to be sent
     /// now.
-    pub fn settle(&mut self, target: Tag, resolution: Resolution) -> Vec<Report> {
+    pub fn resolve(&mut self, target: Tag, resolution: Resolution) -> Vec<Report> {
         let open = self.runs.iter_mut();
         let open = open
             .filter(|it| it.finding.target == target && it.finding.resolution == Resolution::Open);
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -255,8 +255,8 @@
         assert_eq!(report.finding.resolution, Resolution::Open);
     }
     interruptions.record(content(3), Tag(2), cell, START);
-    assert_eq!(interruptions.settle(Tag(1), Resolution::Ended).len(), 2);
-    assert!(interruptions.settle(Tag(1), Resolution::Alive).is_empty());
+    assert_eq!(interruptions.resolve(Tag(1), Resolution::Ended).len(), 2);
+    assert!(interruptions.resolve(Tag(1), Resolution::Alive).is_empty());
     let resolved = |sent: Vec<_>| {
         let sent = sent.into_iter();
         sent.filter(|it: &dunlinward_dispatch::cuts::Report| {
--- a/crates/path/src/cut.rs
+++ b/crates/path/src/cut.rs
@@ -99,7 +99,7 @@
 }
 
 fn settle(node: &Node, target: &Target, fate: Resolution) {
-    let settled = node.state.borrow_mut().cuts.settle(target.tag(), fate);
+    let settled = node.state.borrow_mut().cuts.resolve(target.tag(), fate);
     if settled.is_empty() {
         return;
     }
