--- a/crates/dispatch/src/cuts.rs
+++ b/crates/dispatch/src/cuts.rs
@@ -95,7 +95,7 @@
 
     /// Findings to be sent once more. Removes those that were sent [`MAX_SENDS`] times, unless they
     /// are open and within [`OPEN_TIMEOUT`].
-    pub fn again(&mut self, now: Duration) -> Vec<Report> {
+    pub fn next_repeats(&mut self, now: Duration) -> Vec<Report> {
         self.runs.retain(|it| {
             let open = it.finding.resolution == Resolution::Open && it.at + OPEN_TIMEOUT > now;
             open || it.sends < MAX_SENDS
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -265,11 +265,11 @@
         .count()
     };
     let sent: Vec<_> = (0..4)
-        .map(|_| resolved(interruptions.again(START)))
+        .map(|_| resolved(interruptions.next_repeats(START)))
         .collect();
     assert_eq!(sent, [2, 2, 0, 0]);
     assert!(interruptions.has_open(Tag(2)));
-    interruptions.again(START + OPEN_TIMEOUT);
+    interruptions.next_repeats(START + OPEN_TIMEOUT);
     assert!(!interruptions.has_open(Tag(2)));
 }
 
--- a/crates/path/src/cut.rs
+++ b/crates/path/src/cut.rs
@@ -131,7 +131,7 @@
 
 /// Tells once more what may have been lost on its way.
 pub(crate) fn tell_again(node: &Node) {
-    let again = node.state.borrow_mut().cuts.again(node.now());
+    let again = node.state.borrow_mut().cuts.next_repeats(node.now());
     for cell in again.chunk_by(|one, next| one.cell == next.cell) {
         let findings = cell.iter().map(|it| it.finding);
         send(node, cell[0].cell, findings.collect());
