--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -5,7 +5,7 @@
 use dunlinward_dispatch::cell::{Cell, ServiceTag};
 use dunlinward_dispatch::content::{Address, Digest};
 use dunlinward_dispatch::copies::{Answered, Copies};
-use dunlinward_dispatch::cuts::Interruptions;
+use dunlinward_dispatch::interruptions::Interruptions;
 use dunlinward_dispatch::quarantine::{
     Change, FIRST_HOLD, Finding, Ledger, OPEN_TIMEOUT, QUARANTINE_ENDS, Resolution, SUSPECT_ENDS,
     Status,
@@ -259,7 +259,7 @@
     assert!(interruptions.resolve(Tag(1), Resolution::Alive).is_empty());
     let resolved = |sent: Vec<_>| {
         let sent = sent.into_iter();
-        sent.filter(|it: &dunlinward_dispatch::cuts::Report| {
+        sent.filter(|it: &dunlinward_dispatch::interruptions::Report| {
             it.finding.resolution == Resolution::Ended
         })
         .count()
--- a/crates/path/src/cut.rs
+++ b/crates/path/src/cut.rs
@@ -13,8 +13,8 @@
 
 use dunlinward_dispatch::cell::Cell;
 use dunlinward_dispatch::content::Digest;
-use dunlinward_dispatch::cuts::Report;
 use dunlinward_dispatch::health::Outcome;
+use dunlinward_dispatch::interruptions::Report;
 use dunlinward_dispatch::quarantine::{Finding, Resolution};
 use dunlinward_dispatch::report::Content;
 use dunlinward_dispatch::target::{State as Condition, Target};
