--- a/crates/dispatch/src/copies.rs
+++ b/crates/dispatch/src/copies.rs
@@ -25,11 +25,11 @@
 
 /// Contents in flight and the target of each.
 #[derive(Clone, Debug, Default)]
-pub struct Copies {
+pub struct InFlight {
     running: HashMap<ContentTag, Runs>,
 }
 
-impl Copies {
+impl InFlight {
     /// Creates an empty table.
     #[must_use]
     pub fn new() -> Self {
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -4,7 +4,7 @@
 
 use dunlinward_dispatch::cell::{Cell, ServiceTag};
 use dunlinward_dispatch::content::{Address, Digest};
-use dunlinward_dispatch::copies::{Answered, Copies};
+use dunlinward_dispatch::copies::{Answered, InFlight};
 use dunlinward_dispatch::interruptions::Interruptions;
 use dunlinward_dispatch::quarantine::{
     Change, FIRST_HOLD, Finding, Ledger, OPEN_TIMEOUT, QUARANTINE_ENDS, Resolution, SUSPECT_ENDS,
@@ -212,21 +212,21 @@
 
 #[test]
 fn a_content_stays_in_flight_until_its_last_run_ends() {
-    let mut copies = Copies::new();
+    let mut in_flight = InFlight::new();
     let content = content(1).tag();
-    copies.begin(content, Tag(1), START);
-    copies.begin(content, Tag(1), START);
-    copies.end(content, Tag(1));
-    assert_eq!(copies.target(content), Some(Tag(1)));
-    assert_eq!(copies.at(Tag(1)).collect::<Vec<_>>(), [content]);
+    in_flight.begin(content, Tag(1), START);
+    in_flight.begin(content, Tag(1), START);
+    in_flight.end(content, Tag(1));
+    assert_eq!(in_flight.target(content), Some(Tag(1)));
+    assert_eq!(in_flight.at(Tag(1)).collect::<Vec<_>>(), [content]);
     // The end of a run on another target belongs to an earlier run.
-    copies.end(content, Tag(2));
-    assert_eq!(copies.target(content), Some(Tag(1)));
-    copies.end(content, Tag(1));
-    assert_eq!(copies.target(content), None);
-    copies.begin(content, Tag(3), START);
-    copies.prune(START + Duration::from_mins(1));
-    assert_eq!(copies.target(content), None);
+    in_flight.end(content, Tag(2));
+    assert_eq!(in_flight.target(content), Some(Tag(1)));
+    in_flight.end(content, Tag(1));
+    assert_eq!(in_flight.target(content), None);
+    in_flight.begin(content, Tag(3), START);
+    in_flight.prune(START + Duration::from_mins(1));
+    assert_eq!(in_flight.target(content), None);
 }
 
 #[test]
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -14,7 +14,7 @@
 use dunlinward_dispatch::cold::{self, Cold, Peak};
 use dunlinward_dispatch::configuration::Table;
 use dunlinward_dispatch::content::ContentTag;
-use dunlinward_dispatch::copies::{Answered, Copies};
+use dunlinward_dispatch::copies::{Answered, InFlight};
 use dunlinward_dispatch::evacuation::{self, Evacuations};
 use dunlinward_dispatch::grants::Grants;
 use dunlinward_dispatch::health::{Health, Outcome};
@@ -160,7 +160,7 @@
     /// Runs of this router that did not end with an answer.
     pub(crate) cuts: Interruptions,
     /// Where contents run for which this router gave places.
-    pub(crate) copies: Copies,
+    pub(crate) copies: InFlight,
     /// Contents that this router's callers were answered.
     pub(crate) answered: Answered,
     engines_seen: usize,
@@ -210,7 +210,7 @@
             quarantine: Ledger::new(),
             quarantine_known: false,
             cuts: Interruptions::new(),
-            copies: Copies::new(),
+            copies: InFlight::new(),
             answered: Answered::new(),
             engines_seen: 0,
         }
