--- a/crates/dispatch/src/copies.rs
+++ b/crates/dispatch/src/copies.rs
@@ -72,7 +72,7 @@
     }
 
     /// Contents that run on a target.
-    pub fn at(&self, target: Tag) -> impl Iterator<Item = ContentTag> {
+    pub fn contents_on(&self, target: Tag) -> impl Iterator<Item = ContentTag> {
         let running = self.running.iter();
         let there = running.filter(move |(_, it)| it.target == target);
         there.map(|(content, _)| *content)
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -218,7 +218,7 @@
     in_flight.begin(content, Tag(1), START);
     in_flight.end(content, Tag(1));
     assert_eq!(in_flight.target(content), Some(Tag(1)));
-    assert_eq!(in_flight.at(Tag(1)).collect::<Vec<_>>(), [content]);
+    assert_eq!(in_flight.contents_on(Tag(1)).collect::<Vec<_>>(), [content]);
     // The end of a run on another target belongs to an earlier run.
     in_flight.end(content, Tag(2));
     assert_eq!(in_flight.target(content), Some(Tag(1)));
--- a/crates/path/src/state/suspects.rs
+++ b/crates/path/src/state/suspects.rs
@@ -38,7 +38,7 @@
         if let Some(target) = targets.iter().find(|it| Some(it.tag()) == runs_at) {
             return vec![target];
         }
-        targets.retain(|it| !self.copies.at(it.tag()).any(suspect));
+        targets.retain(|it| !self.copies.contents_on(it.tag()).any(suspect));
         let running = |it: &Arc<Target>| self.usage.total(it.tag()).running;
         let least = targets.iter().map(|it| running(it)).min();
         targets.retain(|it| Some(running(it)) == least);
--- a/crates/path/src/state/tests/suspects.rs
+++ b/crates/path/src/state/tests/suspects.rs
@@ -53,7 +53,7 @@
     assert_eq!(again, first, "it puts no other target at risk");
     // Both of the others are free of suspects; only these two are not.
     assert_eq!(
-        fleet.owner.copies.at(first).collect::<Vec<_>>(),
+        fleet.owner.copies.contents_on(first).collect::<Vec<_>>(),
         [ContentTag(1)]
     );
 }
