--- a/crates/dispatch/src/copies.rs
+++ b/crates/dispatch/src/copies.rs
@@ -100,7 +100,7 @@
     }
 
     /// Records an answer to a content.
-    pub fn note(&mut self, content: Digest) {
+    pub fn record(&mut self, content: Digest) {
         if self.newer.len() >= MAX_ANSWERED / 2 {
             self.older = std::mem::take(&mut self.newer);
         }
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -233,7 +233,7 @@
 fn answers_are_recorded_for_thousands_of_contents() {
     let mut answered = Answered::new();
     for number in 0..6_000 {
-        answered.note(content(number));
+        answered.record(content(number));
     }
     assert!(answered.contains(content(5_999)));
     assert!(answered.contains(content(4_000)));
--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -131,7 +131,7 @@
         if outcome == Outcome::Good
             && let Some(run) = self.run.take()
         {
-            node.state.borrow_mut().answered.note(run.content);
+            node.state.borrow_mut().answered.record(run.content);
             quarantine::answered(&node, run.content.tag());
         }
     }
