--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! - [`configuration`]: routes, services, customers and limits in force.
 //! - [`content`]: what a request asks, whoever carries it.
-//! - [`quarantine`], [`interruptions`], [`copies`]: contents under which targets end.
+//! - [`quarantine`], [`interruptions`], [`inflight`]: contents under which targets end.
 //! - [`target`], [`registry`]: the targets that are known, and which may get work.
 //! - [`store`], [`evacuation`]: what the platform's store says, and failure domains that get nothing.
 //! - [`cold`]: targets that bear few requests for now.
@@ -33,10 +33,10 @@
 pub mod cold;
 pub mod configuration;
 pub mod content;
-pub mod copies;
 pub mod evacuation;
 pub mod grants;
 pub mod health;
+pub mod inflight;
 pub mod interruptions;
 pub mod leaving;
 pub mod member;
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -4,7 +4,7 @@
 
 use dunlinward_dispatch::cell::{Cell, ServiceTag};
 use dunlinward_dispatch::content::{Address, Digest};
-use dunlinward_dispatch::copies::{Answered, InFlight};
+use dunlinward_dispatch::inflight::{Answered, InFlight};
 use dunlinward_dispatch::interruptions::Interruptions;
 use dunlinward_dispatch::quarantine::{
     Change, FIRST_HOLD, Finding, Ledger, OPEN_TIMEOUT, QUARANTINE_ENDS, Resolution, SUSPECT_ENDS,
