--- a/crates/dispatch/src/content.rs
+++ b/crates/dispatch/src/content.rs
@@ -16,7 +16,7 @@
 
 /// Method, host and path of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Address<'a> {
+pub struct Endpoint<'a> {
     /// HTTP method.
     pub method: &'a str,
     /// Host without port.
@@ -29,10 +29,10 @@
     /// Computes the digest of a request of `customer`. Other parts of the head are left out, as
     /// they may differ between a caller's attempts, such as the remaining time.
     #[must_use]
-    pub fn new(address: Address<'_>, customer: Option<&str>, body: &[u8]) -> Self {
+    pub fn new(endpoint: Endpoint<'_>, customer: Option<&str>, body: &[u8]) -> Self {
         let customer = customer.unwrap_or_default();
         let mut hash = Sha256::new();
-        for field in [address.method, address.host, address.path, customer] {
+        for field in [endpoint.method, endpoint.host, endpoint.path, customer] {
             // The length prefix keeps different fields from giving the same bytes.
             hash.update((field.len() as u64).to_be_bytes());
             hash.update(field.as_bytes());
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dunlinward_dispatch::cell::{Cell, ServiceTag};
-use dunlinward_dispatch::content::{Address, Digest};
+use dunlinward_dispatch::content::{Digest, Endpoint};
 use dunlinward_dispatch::inflight::{Answered, InFlight};
 use dunlinward_dispatch::interruptions::Interruptions;
 use dunlinward_dispatch::quarantine::{
@@ -188,21 +188,21 @@
 
 #[test]
 fn digests_depend_on_customer_path_and_body() {
-    let address = Address {
+    let endpoint = Endpoint {
         method: "POST",
         host: "h.example",
         path: "/a",
     };
-    let digest = Digest::new(address, Some("c-1"), b"body");
-    assert_eq!(digest, Digest::new(address, Some("c-1"), b"body"));
-    let path = Address {
+    let digest = Digest::new(endpoint, Some("c-1"), b"body");
+    assert_eq!(digest, Digest::new(endpoint, Some("c-1"), b"body"));
+    let path = Endpoint {
         path: "/ac-1",
-        ..address
+        ..endpoint
     };
     let others = [
-        Digest::new(address, Some("c-2"), b"body"),
-        Digest::new(address, None, b"body"),
-        Digest::new(address, Some("c-1"), b"bodies"),
+        Digest::new(endpoint, Some("c-2"), b"body"),
+        Digest::new(endpoint, None, b"body"),
+        Digest::new(endpoint, Some("c-1"), b"bodies"),
         Digest::new(path, None, b"body"),
     ];
     for other in others {
--- a/crates/path/src/admission.rs
+++ b/crates/path/src/admission.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use dunlinward_dispatch::configuration::{Route, Table};
-use dunlinward_dispatch::content::{Address, Digest};
+use dunlinward_dispatch::content::{Digest, Endpoint};
 use dunlinward_dispatch::share;
 use hyper::header::HOST;
 use hyper::http::request;
@@ -39,7 +39,7 @@
 /// The digest of what a request asks.
 fn content(head: &request::Parts, customer: Option<&str>, body: &[u8]) -> Digest {
     let path = head.uri.path_and_query();
-    let address = Address {
+    let address = Endpoint {
         method: head.method.as_str(),
         host: host(head),
         path: path.map_or("", |it| it.as_str()),
