--- a/crates/dispatch/src/health.rs
+++ b/crates/dispatch/src/health.rs
@@ -63,7 +63,7 @@
     }
 
     /// Records an outcome; returns whether it ejects the target.
-    pub fn note(&mut self, tag: Tag, outcome: Outcome, now: Duration) -> bool {
+    pub fn record(&mut self, tag: Tag, outcome: Outcome, now: Duration) -> bool {
         let failed = if outcome == Outcome::Good { 0.0 } else { 1.0 };
         let record = self.records.entry(tag).or_default();
         record.average += (failed - record.average) * NEWEST_WEIGHT;
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -368,21 +368,21 @@
 #[test]
 fn a_target_is_left_alone_after_failures_in_a_row_and_longer_each_time() {
     let (a, mut health) = (Tag::new("a"), Health::new());
-    assert!(!health.note(a, Outcome::Bad, ms(0)));
-    assert!(!health.note(a, Outcome::Good, ms(0)));
-    assert!(!health.note(a, Outcome::Bad, ms(0)));
-    assert!(!health.note(a, Outcome::Bad, ms(0)));
-    assert!(health.note(a, Outcome::Bad, ms(0)));
+    assert!(!health.record(a, Outcome::Bad, ms(0)));
+    assert!(!health.record(a, Outcome::Good, ms(0)));
+    assert!(!health.record(a, Outcome::Bad, ms(0)));
+    assert!(!health.record(a, Outcome::Bad, ms(0)));
+    assert!(health.record(a, Outcome::Bad, ms(0)));
     assert!(health.ejected(a, ms(499)) && !health.ejected(a, ms(500)));
-    assert!(health.note(a, Outcome::Bad, ms(500)));
+    assert!(health.record(a, Outcome::Bad, ms(500)));
     assert!(health.ejected(a, ms(1499)) && !health.ejected(a, ms(1500)));
-    health.note(a, Outcome::Good, ms(1500));
-    assert!(health.note(a, Outcome::Unreachable, ms(1600)));
+    health.record(a, Outcome::Good, ms(1500));
+    assert!(health.record(a, Outcome::Unreachable, ms(1600)));
     assert!(health.ejected(a, ms(3599)) && !health.ejected(a, ms(3600)));
     for _ in 0..8 {
-        health.note(a, Outcome::Good, ms(4000));
+        health.record(a, Outcome::Good, ms(4000));
     }
-    assert!(health.note(a, Outcome::Unreachable, ms(5000)));
+    assert!(health.record(a, Outcome::Unreachable, ms(5000)));
     assert!(health.ejected(a, ms(5499)) && !health.ejected(a, ms(5500)));
 }
 
@@ -396,7 +396,7 @@
         } else {
             Outcome::Good
         };
-        ejected |= health.note(a, outcome, ms(turn));
+        ejected |= health.record(a, outcome, ms(turn));
     }
     assert!(!ejected);
     for turn in 0..40 {
@@ -405,7 +405,7 @@
         } else {
             Outcome::Good
         };
-        ejected |= health.note(a, outcome, ms(100 + turn));
+        ejected |= health.record(a, outcome, ms(100 + turn));
     }
     assert!(ejected);
 }
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -433,5 +433,5 @@
     if outcome == Outcome::Bad && enough {
         return false;
     }
-    health.note(target.tag(), outcome, now)
+    health.record(target.tag(), outcome, now)
 }
