--- a/crates/dispatch/src/health.rs
+++ b/crates/dispatch/src/health.rs
@@ -91,7 +91,7 @@
 
     /// Whether a target is ejected now.
     #[must_use]
-    pub fn ejected(&self, tag: Tag, now: Duration) -> bool {
+    pub fn is_ejected(&self, tag: Tag, now: Duration) -> bool {
         self.records.get(&tag).is_some_and(|it| now < it.until)
     }
 
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -373,17 +373,17 @@
     assert!(!health.record(a, Outcome::Bad, ms(0)));
     assert!(!health.record(a, Outcome::Bad, ms(0)));
     assert!(health.record(a, Outcome::Bad, ms(0)));
-    assert!(health.ejected(a, ms(499)) && !health.ejected(a, ms(500)));
+    assert!(health.is_ejected(a, ms(499)) && !health.is_ejected(a, ms(500)));
     assert!(health.record(a, Outcome::Bad, ms(500)));
-    assert!(health.ejected(a, ms(1499)) && !health.ejected(a, ms(1500)));
+    assert!(health.is_ejected(a, ms(1499)) && !health.is_ejected(a, ms(1500)));
     health.record(a, Outcome::Good, ms(1500));
     assert!(health.record(a, Outcome::Unreachable, ms(1600)));
-    assert!(health.ejected(a, ms(3599)) && !health.ejected(a, ms(3600)));
+    assert!(health.is_ejected(a, ms(3599)) && !health.is_ejected(a, ms(3600)));
     for _ in 0..8 {
         health.record(a, Outcome::Good, ms(4000));
     }
     assert!(health.record(a, Outcome::Unreachable, ms(5000)));
-    assert!(health.ejected(a, ms(5499)) && !health.ejected(a, ms(5500)));
+    assert!(health.is_ejected(a, ms(5499)) && !health.is_ejected(a, ms(5500)));
 }
 
 #[test]
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -417,7 +417,7 @@
     pub(crate) fn avoided(&self, cell: Cell, now: Duration) -> Vec<Tag> {
         let targets = self.registry.of_cell(cell);
         let tags = targets.iter().map(|it| it.tag());
-        tags.filter(|it| self.health.ejected(*it, now)).collect()
+        tags.filter(|it| self.health.is_ejected(*it, now)).collect()
     }
 }
 
@@ -428,7 +428,7 @@
     outcome: Outcome,
     now: Duration,
 ) -> bool {
-    let ejected = targets.iter().filter(|it| health.ejected(it.tag(), now));
+    let ejected = targets.iter().filter(|it| health.is_ejected(it.tag(), now));
     let enough = ejected.count() * EJECTED_PART >= targets.len();
     if outcome == Outcome::Bad && enough {
         return false;
--- a/crates/path/src/state/candidates.rs
+++ b/crates/path/src/state/candidates.rs
@@ -26,7 +26,7 @@
             let tag = target.tag();
             self.open(target)
                 && self.backoffs.opens_at(wish.router, tag, now) <= now
-                && !self.reported.ejected(tag, now)
+                && !self.reported.is_ejected(tag, now)
                 && !wish.avoid.contains(&tag)
         };
         let usable = self.registry.of_cell(wish.cell).iter().filter(usable);
