--- a/crates/dispatch/src/health.rs
+++ b/crates/dispatch/src/health.rs
@@ -84,7 +84,7 @@
     }
 
     /// Targets that are ejected now.
-    pub fn all_ejected(&self, now: Duration) -> impl Iterator<Item = Tag> {
+    pub fn ejected(&self, now: Duration) -> impl Iterator<Item = Tag> {
         let ejected = self.records.iter().filter(move |(_, it)| now < it.until);
         ejected.map(|(tag, _)| *tag)
     }
