--- a/crates/dispatch/src/backoff.rs
+++ b/crates/dispatch/src/backoff.rs
@@ -7,7 +7,7 @@
 //!   it nothing until the time is over. Where requested times overlap, the latest end holds.
 //! - The router that places requests on the target sends it nothing for a *pause*, whichever router
 //!   was refused and whether or not a time was requested. The first pause is [`FIRST_PAUSE`]. It
-//!   doubles with each refusal of a request sent after the previous pause, up to [`LONGEST_PAUSE`].
+//!   doubles with each refusal of a request sent after the previous pause, up to [`MAX_PAUSE`].
 //!   A target that has requested times from two or more routers refuses everybody, so it gets
 //!   nothing from any router until all but one of these times are over.
 //!
@@ -28,7 +28,7 @@
 
 /// Longest pause. A refusal delays its request by some milliseconds until it runs elsewhere, while
 /// a target that serves again but gets no requests wastes its whole capacity.
-pub const LONGEST_PAUSE: Duration = Duration::from_millis(300);
+pub const MAX_PAUSE: Duration = Duration::from_millis(300);
 
 /// Limit of doublings of a pause.
 const MAX_DOUBLINGS: u32 = 2;
@@ -85,7 +85,7 @@
         }
         let time = FIRST_PAUSE * (1 << self.refusals.min(MAX_DOUBLINGS));
         self.refusals += 1;
-        self.pause = now + time.min(LONGEST_PAUSE);
+        self.pause = now + time.min(MAX_PAUSE);
     }
 
     fn request(&mut self, router: Peer, until: Duration) {
--- a/crates/dispatch/tests/backoff.rs
+++ b/crates/dispatch/tests/backoff.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dunlinward_dispatch::backoff::{Backoffs, FIRST_PAUSE, LONGEST_PAUSE, Refusal, TRIAL_INTERVAL};
+use dunlinward_dispatch::backoff::{Backoffs, FIRST_PAUSE, MAX_PAUSE, Refusal, TRIAL_INTERVAL};
 use dunlinward_dispatch::target::Tag;
 use dunlinward_dispatch::usage::Peer;
 use rand::rngs::StdRng;
@@ -67,7 +67,7 @@
 fn only_refusals_of_requests_sent_after_a_pause_double_it() {
     let mut backoffs = Backoffs::default();
     let mut now = SECOND;
-    for pause in [1, 2, 4, 4].map(|it| LONGEST_PAUSE.min(FIRST_PAUSE * it)) {
+    for pause in [1, 2, 4, 4].map(|it| MAX_PAUSE.min(FIRST_PAUSE * it)) {
         backoffs.note_refused(A, TARGET, PLAIN, now);
         // Refusals of other requests that were sent before the pause.
         backoffs.note_refused(B, TARGET, PLAIN, now);
@@ -195,7 +195,7 @@
                 backoffs[owner].note_running(TARGET, now);
             }
         }
-        let end = now + SECOND + LONGEST_PAUSE;
+        let end = now + SECOND + MAX_PAUSE;
         for table in &backoffs {
             assert_eq!(table.opens_at(A, TARGET, end), end, "seed {seed}");
         }
