--- a/crates/dispatch/src/backoff.rs
+++ b/crates/dispatch/src/backoff.rs
@@ -47,14 +47,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
     /// Remaining backoff time that it requests from the router that it refused, if any.
-    pub named: Option<Duration>,
+    pub backoff: Option<Duration>,
 }
 
 impl Refusal {
     /// Whether a valid message can contain it.
     #[must_use]
     pub fn plausible(&self) -> bool {
-        self.named.is_none_or(|it| it <= MAX_BACKOFF)
+        self.backoff.is_none_or(|it| it <= MAX_BACKOFF)
     }
 }
 
@@ -136,7 +136,7 @@
 
     /// Records the backoff time that a target requested from a router, as reported by that router.
     pub fn note_named(&mut self, router: Peer, tag: Tag, refusal: Refusal, now: Duration) {
-        if let Some(time) = refusal.named.filter(|it| !it.is_zero()) {
+        if let Some(time) = refusal.backoff.filter(|it| !it.is_zero()) {
             let record = self.records.entry(tag).or_default();
             record.request(router, now + time);
         }
@@ -184,8 +184,8 @@
         let tags = self.records.keys();
         tags.filter_map(move |tag| {
             let until = self.named_until(router, *tag, now)?;
-            let named = Some(until.saturating_sub(now));
-            Some((*tag, Refusal { named }))
+            let backoff = Some(until.saturating_sub(now));
+            Some((*tag, Refusal { backoff }))
         })
     }
 
--- a/crates/dispatch/tests/backoff.rs
+++ b/crates/dispatch/tests/backoff.rs
@@ -13,10 +13,12 @@
 const C: Peer = Peer(3);
 const TARGET: Tag = Tag(7);
 const SECOND: Duration = Duration::from_secs(1);
-const PLAIN: Refusal = Refusal { named: None };
+const PLAIN: Refusal = Refusal { backoff: None };
 
 fn refusal(time: Duration) -> Refusal {
-    Refusal { named: Some(time) }
+    Refusal {
+        backoff: Some(time),
+    }
 }
 
 #[test]
@@ -177,13 +179,13 @@
             if random.random_bool(0.5) {
                 let time = Duration::from_millis(random.random_range(0..900));
                 let refusal = Refusal {
-                    named: random.random_bool(0.7).then_some(time),
+                    backoff: random.random_bool(0.7).then_some(time),
                 };
                 backoffs[sender].note_refused(router, TARGET, refusal, now);
                 if sender != owner && random.random_bool(0.9) {
                     backoffs[owner].note_refused(router, TARGET, refusal, now);
                 }
-                if let Some(time) = refusal.named {
+                if let Some(time) = refusal.backoff {
                     let until = now + time;
                     requested.push(Requested {
                         router,
--- a/crates/path/src/state/tests/refusing.rs
+++ b/crates/path/src/state/tests/refusing.rs
@@ -88,7 +88,7 @@
             time = ROUND_TRIP;
             let until = named.entry((router, grant.tag)).or_default();
             played.within += usize::from(now < *until);
-            *until = now + refusal.named.unwrap_or_default();
+            *until = now + refusal.backoff.unwrap_or_default();
         }
         let at = returns.entry(number + time).or_default();
         at.push((router, returned));
@@ -98,7 +98,9 @@
 
 #[test]
 fn engines_that_name_a_time_are_tried_by_few_routers_and_by_none_twice() {
-    let played = play(Refusal { named: Some(NAMED) });
+    let played = play(Refusal {
+        backoff: Some(NAMED),
+    });
     // Each engine: what was on its way with the first refusal, then one trial of another router.
     let each = usize::try_from(ROUND_TRIP).expect("a few") + 1;
     assert!(played.refused <= REFUSING * each, "{played:?}");
@@ -107,7 +109,7 @@
 
 #[test]
 fn engines_that_name_none_are_tried_once_in_a_pause() {
-    let played = play(Refusal { named: None });
+    let played = play(Refusal { backoff: None });
     // Some on their way at the first, then one trial after each pause; the shortest may come again, as
     // what engines began before ends by and by.
     let trials = NAMED.as_millis() / FIRST_PAUSE.as_millis() + u128::from(ROUND_TRIP);
@@ -118,7 +120,9 @@
 /// Capacity never idles while work waits: what the engines that serve can run is placed there.
 #[test]
 fn the_others_get_what_the_refusing_ones_would_have_run() {
-    let refusing = play(Refusal { named: Some(NAMED) });
+    let refusing = play(Refusal {
+        backoff: Some(NAMED),
+    });
     let served = refusing.placed - refusing.refused;
     let asked = usize::try_from(NAMED.as_millis()).expect("a few seconds");
     // Four engines of six run 1,000 tokens in 50 ms; what they read at once bounds them.
@@ -135,10 +139,12 @@
         let time = Duration::from_millis(time);
         let named = Some(time);
         for target in targets() {
-            fleet
-                .owner
-                .backoffs
-                .note_named(Peer(1), target.tag(), Refusal { named }, START);
+            fleet.owner.backoffs.note_named(
+                Peer(1),
+                target.tag(),
+                Refusal { backoff: named },
+                START,
+            );
         }
         let wish = Wish {
             router: Peer(1),
@@ -180,7 +186,7 @@
     for tag in &closed {
         state
             .backoffs
-            .note_refused(own, *tag, Refusal { named }, START);
+            .note_refused(own, *tag, Refusal { backoff: named }, START);
     }
     let other = home_of(&state, START);
     assert_ne!(other, home);
