--- a/crates/dispatch/src/backoff.rs
+++ b/crates/dispatch/src/backoff.rs
@@ -129,7 +129,7 @@
 
 impl Backoffs {
     /// Records a target's refusal of a router's request.
-    pub fn note_refused(&mut self, router: Peer, tag: Tag, refusal: Refusal, now: Duration) {
+    pub fn record_refusal(&mut self, router: Peer, tag: Tag, refusal: Refusal, now: Duration) {
         self.note_named(router, tag, refusal, now);
         self.records.entry(tag).or_default().refused(now);
     }
--- a/crates/dispatch/tests/backoff.rs
+++ b/crates/dispatch/tests/backoff.rs
@@ -24,7 +24,7 @@
 #[test]
 fn a_requested_backoff_binds_one_router_and_a_pause_binds_all() {
     let mut backoffs = Backoffs::default();
-    backoffs.note_refused(A, TARGET, refusal(SECOND * 3), SECOND);
+    backoffs.record_refusal(A, TARGET, refusal(SECOND * 3), SECOND);
     assert_eq!(backoffs.named_until(A, TARGET, SECOND), Some(SECOND * 4));
     assert_eq!(backoffs.named_until(B, TARGET, SECOND), None);
     assert_eq!(backoffs.opens_at(B, TARGET, SECOND), SECOND + FIRST_PAUSE);
@@ -36,18 +36,18 @@
 #[test]
 fn the_latest_end_of_overlapping_backoffs_holds() {
     let mut backoffs = Backoffs::default();
-    backoffs.note_refused(A, TARGET, refusal(SECOND * 3), SECOND);
-    backoffs.note_refused(A, TARGET, refusal(SECOND), SECOND);
+    backoffs.record_refusal(A, TARGET, refusal(SECOND * 3), SECOND);
+    backoffs.record_refusal(A, TARGET, refusal(SECOND), SECOND);
     assert_eq!(
         backoffs.named_until(A, TARGET, SECOND * 3),
         Some(SECOND * 4)
     );
-    backoffs.note_refused(A, TARGET, refusal(SECOND * 5), SECOND * 2);
+    backoffs.record_refusal(A, TARGET, refusal(SECOND * 5), SECOND * 2);
     assert_eq!(
         backoffs.named_until(A, TARGET, SECOND * 6),
         Some(SECOND * 7)
     );
-    backoffs.note_refused(A, TARGET, PLAIN, SECOND * 2);
+    backoffs.record_refusal(A, TARGET, PLAIN, SECOND * 2);
     backoffs.note_running(TARGET, SECOND * 3);
     assert_eq!(
         backoffs.named_until(A, TARGET, SECOND * 6),
@@ -59,8 +59,8 @@
 #[test]
 fn backoffs_requested_from_two_routers_bind_all_until_one_is_over() {
     let mut backoffs = Backoffs::default();
-    backoffs.note_refused(A, TARGET, refusal(SECOND * 3), SECOND);
-    backoffs.note_refused(B, TARGET, refusal(SECOND * 5), SECOND);
+    backoffs.record_refusal(A, TARGET, refusal(SECOND * 3), SECOND);
+    backoffs.record_refusal(B, TARGET, refusal(SECOND * 5), SECOND);
     assert_eq!(backoffs.opens_at(C, TARGET, SECOND * 2), SECOND * 4);
     assert_eq!(backoffs.opens_at(B, TARGET, SECOND * 2), SECOND * 6);
 }
@@ -70,10 +70,10 @@
     let mut backoffs = Backoffs::default();
     let mut now = SECOND;
     for pause in [1, 2, 4, 4].map(|it| MAX_PAUSE.min(FIRST_PAUSE * it)) {
-        backoffs.note_refused(A, TARGET, PLAIN, now);
+        backoffs.record_refusal(A, TARGET, PLAIN, now);
         // Refusals of other requests that were sent before the pause.
-        backoffs.note_refused(B, TARGET, PLAIN, now);
-        backoffs.note_refused(A, TARGET, PLAIN, now + pause / 2);
+        backoffs.record_refusal(B, TARGET, PLAIN, now);
+        backoffs.record_refusal(A, TARGET, PLAIN, now + pause / 2);
         let opens = backoffs.opens_at(C, TARGET, now);
         assert_eq!(opens.saturating_sub(now), pause);
         now = opens;
@@ -81,7 +81,7 @@
     }
     backoffs.note_running(TARGET, now);
     assert_eq!(backoffs.opens_at(C, TARGET, now), now);
-    backoffs.note_refused(A, TARGET, PLAIN, now);
+    backoffs.record_refusal(A, TARGET, PLAIN, now);
     assert_eq!(backoffs.opens_at(C, TARGET, now), now + FIRST_PAUSE);
 }
 
@@ -90,7 +90,7 @@
     let mut backoffs = Backoffs::default();
     backoffs.note_sent(TARGET, SECOND);
     assert_eq!(backoffs.opens_at(A, TARGET, SECOND), SECOND);
-    backoffs.note_refused(A, TARGET, PLAIN, SECOND);
+    backoffs.record_refusal(A, TARGET, PLAIN, SECOND);
     let now = SECOND + FIRST_PAUSE;
     backoffs.note_sent(TARGET, now);
     assert_eq!(backoffs.opens_at(A, TARGET, now), now + TRIAL_INTERVAL);
@@ -102,11 +102,11 @@
 #[test]
 fn requests_begun_before_a_refusal_do_not_end_the_pause() {
     let mut backoffs = Backoffs::default();
-    backoffs.note_refused(A, TARGET, PLAIN, SECOND);
+    backoffs.record_refusal(A, TARGET, PLAIN, SECOND);
     let within = SECOND + FIRST_PAUSE / 2;
     backoffs.note_running(TARGET, within);
     assert_eq!(backoffs.opens_at(A, TARGET, within), SECOND + FIRST_PAUSE);
-    backoffs.note_refused(A, TARGET, PLAIN, SECOND + FIRST_PAUSE);
+    backoffs.record_refusal(A, TARGET, PLAIN, SECOND + FIRST_PAUSE);
     let opens = SECOND + FIRST_PAUSE * 3;
     assert_eq!(backoffs.opens_at(A, TARGET, within), opens);
 }
@@ -114,10 +114,10 @@
 #[test]
 fn terminated_targets_and_expired_backoffs_are_removed() {
     let mut backoffs = Backoffs::default();
-    backoffs.note_refused(A, TARGET, refusal(SECOND * 60), SECOND);
+    backoffs.record_refusal(A, TARGET, refusal(SECOND * 60), SECOND);
     backoffs.forget(TARGET);
     assert_eq!(backoffs.opens_at(A, TARGET, SECOND), SECOND);
-    backoffs.note_refused(A, TARGET, refusal(SECOND), SECOND);
+    backoffs.record_refusal(A, TARGET, refusal(SECOND), SECOND);
     assert_eq!(backoffs.named_to(A, SECOND).count(), 1);
     assert_eq!(backoffs.prune(A, SECOND * 3), [TARGET]);
     assert_eq!(backoffs.prune(A, SECOND * 6), []);
@@ -181,9 +181,9 @@
                 let refusal = Refusal {
                     backoff: random.random_bool(0.7).then_some(time),
                 };
-                backoffs[sender].note_refused(router, TARGET, refusal, now);
+                backoffs[sender].record_refusal(router, TARGET, refusal, now);
                 if sender != owner && random.random_bool(0.9) {
-                    backoffs[owner].note_refused(router, TARGET, refusal, now);
+                    backoffs[owner].record_refusal(router, TARGET, refusal, now);
                 }
                 if let Some(time) = refusal.backoff {
                     let until = now + time;
--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -189,7 +189,7 @@
             let (tag, now) = (self.target.tag(), node.now());
             let mut state = node.state.borrow_mut();
             let own = node.peer;
-            state.backoffs.note_refused(own, tag, refusal, now);
+            state.backoffs.record_refusal(own, tag, refusal, now);
         }
     }
 
--- a/crates/path/src/state/ended.rs
+++ b/crates/path/src/state/ended.rs
@@ -45,7 +45,9 @@
             self.copies.end(content, returned.tag);
         }
         match (returned.refusal, returned.outcome) {
-            (Some(refusal), _) => self.backoffs.note_refused(peer, returned.tag, refusal, now),
+            (Some(refusal), _) => self
+                .backoffs
+                .record_refusal(peer, returned.tag, refusal, now),
             (None, Some(Outcome::Good)) => self.backoffs.note_running(returned.tag, now),
             (None, _) => {}
         }
--- a/crates/path/src/state/tests/refusing.rs
+++ b/crates/path/src/state/tests/refusing.rs
@@ -186,7 +186,7 @@
     for tag in &closed {
         state
             .backoffs
-            .note_refused(own, *tag, Refusal { backoff: named }, START);
+            .record_refusal(own, *tag, Refusal { backoff: named }, START);
     }
     let other = home_of(&state, START);
     assert_ne!(other, home);
