--- a/crates/dispatch/src/backoff.rs
+++ b/crates/dispatch/src/backoff.rs
@@ -130,12 +130,12 @@
 impl Backoffs {
     /// Records a target's refusal of a router's request.
     pub fn record_refusal(&mut self, router: Peer, tag: Tag, refusal: Refusal, now: Duration) {
-        self.note_named(router, tag, refusal, now);
+        self.record_backoff(router, tag, refusal, now);
         self.records.entry(tag).or_default().refused(now);
     }
 
     /// Records the backoff time that a target requested from a router, as reported by that router.
-    pub fn note_named(&mut self, router: Peer, tag: Tag, refusal: Refusal, now: Duration) {
+    pub fn record_backoff(&mut self, router: Peer, tag: Tag, refusal: Refusal, now: Duration) {
         if let Some(time) = refusal.backoff.filter(|it| !it.is_zero()) {
             let record = self.records.entry(tag).or_default();
             record.request(router, now + time);
--- a/crates/dispatch/tests/backoff.rs
+++ b/crates/dispatch/tests/backoff.rs
@@ -153,7 +153,7 @@
                 for (reporter, peer) in routers.iter().enumerate() {
                     let reported: Vec<_> = backoffs[reporter].named_to(*peer, now).collect();
                     for (tag, refusal) in reported {
-                        backoffs[owner].note_named(*peer, tag, refusal, now);
+                        backoffs[owner].record_backoff(*peer, tag, refusal, now);
                     }
                 }
             }
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -116,7 +116,7 @@
         }
         state.confirm(peer, &work.accepted, now);
         for (tag, refusal) in &work.refusals {
-            state.backoffs.note_named(peer, *tag, *refusal, now);
+            state.backoffs.record_backoff(peer, *tag, *refusal, now);
         }
         if !work.customers.is_empty() {
             state.shares.hear(peer, &work.customers, now);
--- a/crates/path/src/state/tests/refusing.rs
+++ b/crates/path/src/state/tests/refusing.rs
@@ -139,7 +139,7 @@
         let time = Duration::from_millis(time);
         let named = Some(time);
         for target in targets() {
-            fleet.owner.backoffs.note_named(
+            fleet.owner.backoffs.record_backoff(
                 Peer(1),
                 target.tag(),
                 Refusal { backoff: named },
