--- a/crates/dispatch/src/backoff.rs
+++ b/crates/dispatch/src/backoff.rs
@@ -144,7 +144,7 @@
 
     /// Records that a target runs a request. Ignored within a pause: that request was sent before
     /// the refusal and does not show whether the next one is accepted.
-    pub fn note_running(&mut self, tag: Tag, now: Duration) {
+    pub fn record_running(&mut self, tag: Tag, now: Duration) {
         let record = self.records.get_mut(&tag);
         if let Some(record) = record.filter(|it| now >= it.pause) {
             record.refusals = 0;
--- a/crates/dispatch/tests/backoff.rs
+++ b/crates/dispatch/tests/backoff.rs
@@ -48,7 +48,7 @@
         Some(SECOND * 7)
     );
     backoffs.record_refusal(A, TARGET, PLAIN, SECOND * 2);
-    backoffs.note_running(TARGET, SECOND * 3);
+    backoffs.record_running(TARGET, SECOND * 3);
     assert_eq!(
         backoffs.named_until(A, TARGET, SECOND * 6),
         Some(SECOND * 7)
@@ -79,7 +79,7 @@
         now = opens;
         backoffs.note_sent(TARGET, now);
     }
-    backoffs.note_running(TARGET, now);
+    backoffs.record_running(TARGET, now);
     assert_eq!(backoffs.opens_at(C, TARGET, now), now);
     backoffs.record_refusal(A, TARGET, PLAIN, now);
     assert_eq!(backoffs.opens_at(C, TARGET, now), now + FIRST_PAUSE);
@@ -95,7 +95,7 @@
     backoffs.note_sent(TARGET, now);
     assert_eq!(backoffs.opens_at(A, TARGET, now), now + TRIAL_INTERVAL);
     assert_eq!(backoffs.next_end(now), Some(now + TRIAL_INTERVAL));
-    backoffs.note_running(TARGET, now);
+    backoffs.record_running(TARGET, now);
     assert_eq!(backoffs.opens_at(A, TARGET, now), now);
 }
 
@@ -104,7 +104,7 @@
     let mut backoffs = Backoffs::default();
     backoffs.record_refusal(A, TARGET, PLAIN, SECOND);
     let within = SECOND + FIRST_PAUSE / 2;
-    backoffs.note_running(TARGET, within);
+    backoffs.record_running(TARGET, within);
     assert_eq!(backoffs.opens_at(A, TARGET, within), SECOND + FIRST_PAUSE);
     backoffs.record_refusal(A, TARGET, PLAIN, SECOND + FIRST_PAUSE);
     let opens = SECOND + FIRST_PAUSE * 3;
@@ -194,7 +194,7 @@
                     });
                 }
             } else {
-                backoffs[owner].note_running(TARGET, now);
+                backoffs[owner].record_running(TARGET, now);
             }
         }
         let end = now + SECOND + MAX_PAUSE;
--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -206,7 +206,7 @@
         {
             let mut state = node.state.borrow_mut();
             state.usage.read(tag, unread);
-            state.backoffs.note_running(tag, node.now());
+            state.backoffs.record_running(tag, node.now());
         }
         self.tell(&node, Content::Read { tag, unread });
         node.room_came();
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -388,7 +388,7 @@
     pub(crate) fn note(&mut self, target: &Target, outcome: Outcome, now: Duration) -> bool {
         self.doubt_cold(target, outcome, now);
         if outcome == Outcome::Good {
-            self.backoffs.note_running(target.tag(), now);
+            self.backoffs.record_running(target.tag(), now);
         }
         let targets = self.registry.of(&target.service);
         note(&mut self.health, targets, target, outcome, now)
--- a/crates/path/src/state/ended.rs
+++ b/crates/path/src/state/ended.rs
@@ -35,7 +35,7 @@
     /// A target has read another router's prompt.
     pub(crate) fn read_for(&mut self, peer: Peer, tag: Tag, unread: u64, now: Duration) {
         self.usage.read_for(peer, tag, unread);
-        self.backoffs.note_running(tag, now);
+        self.backoffs.record_running(tag, now);
     }
 
     /// Another router's place is free again.
@@ -48,7 +48,7 @@
             (Some(refusal), _) => self
                 .backoffs
                 .record_refusal(peer, returned.tag, refusal, now),
-            (None, Some(Outcome::Good)) => self.backoffs.note_running(returned.tag, now),
+            (None, Some(Outcome::Good)) => self.backoffs.record_running(returned.tag, now),
             (None, _) => {}
         }
         let request = returned.not_run.map(|number| Request { peer, number });
