--- a/crates/dispatch/src/backoff.rs
+++ b/crates/dispatch/src/backoff.rs
@@ -154,7 +154,7 @@
     }
 
     /// Records that a request is sent to a target.
-    pub fn note_sent(&mut self, tag: Tag, now: Duration) {
+    pub fn record_sent(&mut self, tag: Tag, now: Duration) {
         let record = self.records.get_mut(&tag);
         if let Some(record) = record.filter(|it| it.refusals > 0) {
             record.trial = now + TRIAL_INTERVAL;
--- a/crates/dispatch/tests/backoff.rs
+++ b/crates/dispatch/tests/backoff.rs
@@ -77,7 +77,7 @@
         let opens = backoffs.opens_at(C, TARGET, now);
         assert_eq!(opens.saturating_sub(now), pause);
         now = opens;
-        backoffs.note_sent(TARGET, now);
+        backoffs.record_sent(TARGET, now);
     }
     backoffs.record_running(TARGET, now);
     assert_eq!(backoffs.opens_at(C, TARGET, now), now);
@@ -88,11 +88,11 @@
 #[test]
 fn a_target_on_trial_gets_one_request_at_a_time_until_it_runs_one() {
     let mut backoffs = Backoffs::default();
-    backoffs.note_sent(TARGET, SECOND);
+    backoffs.record_sent(TARGET, SECOND);
     assert_eq!(backoffs.opens_at(A, TARGET, SECOND), SECOND);
     backoffs.record_refusal(A, TARGET, PLAIN, SECOND);
     let now = SECOND + FIRST_PAUSE;
-    backoffs.note_sent(TARGET, now);
+    backoffs.record_sent(TARGET, now);
     assert_eq!(backoffs.opens_at(A, TARGET, now), now + TRIAL_INTERVAL);
     assert_eq!(backoffs.next_end(now), Some(now + TRIAL_INTERVAL));
     backoffs.record_running(TARGET, now);
@@ -171,7 +171,7 @@
             if backoffs[sender].named_until(router, TARGET, now).is_some() {
                 continue;
             }
-            backoffs[owner].note_sent(TARGET, now);
+            backoffs[owner].record_sent(TARGET, now);
             let within = requested
                 .iter()
                 .any(|it| it.router == router && it.at < now && now < it.until);
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -195,7 +195,7 @@
         let tag = choice.target.tag();
         self.usage.begin(tag, choice.unread);
         self.cold.note(tag, now);
-        self.backoffs.note_sent(tag, now);
+        self.backoffs.record_sent(tag, now);
         if let Some(prompt) = wish.prompt.as_deref() {
             self.caches.sent(tag, prompt, now);
         }
@@ -231,7 +231,7 @@
         let tag = choice.target.tag();
         self.usage.begin_for(peer, tag, choice.unread, now);
         self.cold.note(tag, now);
-        self.backoffs.note_sent(tag, now);
+        self.backoffs.record_sent(tag, now);
         if let Some(prompt) = wish.prompt.as_deref() {
             self.caches.sent(tag, prompt, now);
         }
