--- a/crates/dispatch/src/backoff.rs
+++ b/crates/dispatch/src/backoff.rs
@@ -163,7 +163,7 @@
 
     /// End of the backoff that a target requested from a router, if it is not over.
     #[must_use]
-    pub fn named_until(&self, router: Peer, tag: Tag, now: Duration) -> Option<Duration> {
+    pub fn backoff_until(&self, router: Peer, tag: Tag, now: Duration) -> Option<Duration> {
         let until = self.records.get(&tag)?.until(router);
         until.filter(|it| now < *it)
     }
@@ -183,7 +183,7 @@
     pub fn named_to(&self, router: Peer, now: Duration) -> impl Iterator<Item = (Tag, Refusal)> {
         let tags = self.records.keys();
         tags.filter_map(move |tag| {
-            let until = self.named_until(router, *tag, now)?;
+            let until = self.backoff_until(router, *tag, now)?;
             let backoff = Some(until.saturating_sub(now));
             Some((*tag, Refusal { backoff }))
         })
--- a/crates/dispatch/tests/backoff.rs
+++ b/crates/dispatch/tests/backoff.rs
@@ -25,8 +25,8 @@
 fn a_requested_backoff_binds_one_router_and_a_pause_binds_all() {
     let mut backoffs = Backoffs::default();
     backoffs.record_refusal(A, TARGET, refusal(SECOND * 3), SECOND);
-    assert_eq!(backoffs.named_until(A, TARGET, SECOND), Some(SECOND * 4));
-    assert_eq!(backoffs.named_until(B, TARGET, SECOND), None);
+    assert_eq!(backoffs.backoff_until(A, TARGET, SECOND), Some(SECOND * 4));
+    assert_eq!(backoffs.backoff_until(B, TARGET, SECOND), None);
     assert_eq!(backoffs.opens_at(B, TARGET, SECOND), SECOND + FIRST_PAUSE);
     let later = SECOND * 2;
     assert_eq!(backoffs.opens_at(A, TARGET, later), SECOND * 4);
@@ -39,21 +39,21 @@
     backoffs.record_refusal(A, TARGET, refusal(SECOND * 3), SECOND);
     backoffs.record_refusal(A, TARGET, refusal(SECOND), SECOND);
     assert_eq!(
-        backoffs.named_until(A, TARGET, SECOND * 3),
+        backoffs.backoff_until(A, TARGET, SECOND * 3),
         Some(SECOND * 4)
     );
     backoffs.record_refusal(A, TARGET, refusal(SECOND * 5), SECOND * 2);
     assert_eq!(
-        backoffs.named_until(A, TARGET, SECOND * 6),
+        backoffs.backoff_until(A, TARGET, SECOND * 6),
         Some(SECOND * 7)
     );
     backoffs.record_refusal(A, TARGET, PLAIN, SECOND * 2);
     backoffs.record_running(TARGET, SECOND * 3);
     assert_eq!(
-        backoffs.named_until(A, TARGET, SECOND * 6),
+        backoffs.backoff_until(A, TARGET, SECOND * 6),
         Some(SECOND * 7)
     );
-    assert_eq!(backoffs.named_until(A, TARGET, SECOND * 7), None);
+    assert_eq!(backoffs.backoff_until(A, TARGET, SECOND * 7), None);
 }
 
 #[test]
@@ -168,7 +168,10 @@
                 continue;
             }
             // Final check at the router itself.
-            if backoffs[sender].named_until(router, TARGET, now).is_some() {
+            if backoffs[sender]
+                .backoff_until(router, TARGET, now)
+                .is_some()
+            {
                 continue;
             }
             backoffs[owner].record_sent(TARGET, now);
--- a/crates/path/src/state/barred.rs
+++ b/crates/path/src/state/barred.rs
@@ -71,7 +71,7 @@
         if self.evacuated(target) {
             return Some(Bar::Evacuated);
         }
-        let until = self.backoffs.named_until(self.peer, tag, now);
+        let until = self.backoffs.backoff_until(self.peer, tag, now);
         until.map(|_| Bar::BackedOff)
     }
 
@@ -88,7 +88,7 @@
     /// When the first target of a cell may get something of this router's callers, by what the targets
     /// have told it. Who waits longer for one, or for one that never will, waits in vain.
     pub(crate) fn opening(&self, cell: Cell, now: Duration) -> Opening {
-        self.first_opening(cell, |tag| self.backoffs.named_until(self.peer, tag, now))
+        self.first_opening(cell, |tag| self.backoffs.backoff_until(self.peer, tag, now))
     }
 
     /// The same for the callers of any router, as the owner of the cell knows.
@@ -122,7 +122,7 @@
     pub(crate) fn backed_off(&self, cell: Cell, now: Duration) -> Vec<Tag> {
         let targets = self.registry.of_cell(cell).iter();
         let tags = targets.map(|it| it.tag());
-        tags.filter(|it| self.backoffs.named_until(self.peer, *it, now).is_some())
+        tags.filter(|it| self.backoffs.backoff_until(self.peer, *it, now).is_some())
             .collect()
     }
 }
