--- a/crates/dispatch/src/backoff.rs
+++ b/crates/dispatch/src/backoff.rs
@@ -170,7 +170,7 @@
 
     /// When a router's request may be placed on a target.
     #[must_use]
-    pub fn opens_at(&self, router: Peer, tag: Tag, now: Duration) -> Duration {
+    pub fn available_at(&self, router: Peer, tag: Tag, now: Duration) -> Duration {
         let Some(record) = self.records.get(&tag) else {
             return now;
         };
--- a/crates/dispatch/tests/backoff.rs
+++ b/crates/dispatch/tests/backoff.rs
@@ -27,10 +27,13 @@
     backoffs.record_refusal(A, TARGET, refusal(SECOND * 3), SECOND);
     assert_eq!(backoffs.backoff_until(A, TARGET, SECOND), Some(SECOND * 4));
     assert_eq!(backoffs.backoff_until(B, TARGET, SECOND), None);
-    assert_eq!(backoffs.opens_at(B, TARGET, SECOND), SECOND + FIRST_PAUSE);
+    assert_eq!(
+        backoffs.available_at(B, TARGET, SECOND),
+        SECOND + FIRST_PAUSE
+    );
     let later = SECOND * 2;
-    assert_eq!(backoffs.opens_at(A, TARGET, later), SECOND * 4);
-    assert_eq!(backoffs.opens_at(B, TARGET, later), later);
+    assert_eq!(backoffs.available_at(A, TARGET, later), SECOND * 4);
+    assert_eq!(backoffs.available_at(B, TARGET, later), later);
 }
 
 #[test]
@@ -61,8 +64,8 @@
     let mut backoffs = Backoffs::default();
     backoffs.record_refusal(A, TARGET, refusal(SECOND * 3), SECOND);
     backoffs.record_refusal(B, TARGET, refusal(SECOND * 5), SECOND);
-    assert_eq!(backoffs.opens_at(C, TARGET, SECOND * 2), SECOND * 4);
-    assert_eq!(backoffs.opens_at(B, TARGET, SECOND * 2), SECOND * 6);
+    assert_eq!(backoffs.available_at(C, TARGET, SECOND * 2), SECOND * 4);
+    assert_eq!(backoffs.available_at(B, TARGET, SECOND * 2), SECOND * 6);
 }
 
 #[test]
@@ -74,29 +77,29 @@
         // Refusals of other requests that were sent before the pause.
         backoffs.record_refusal(B, TARGET, PLAIN, now);
         backoffs.record_refusal(A, TARGET, PLAIN, now + pause / 2);
-        let opens = backoffs.opens_at(C, TARGET, now);
+        let opens = backoffs.available_at(C, TARGET, now);
         assert_eq!(opens.saturating_sub(now), pause);
         now = opens;
         backoffs.record_sent(TARGET, now);
     }
     backoffs.record_running(TARGET, now);
-    assert_eq!(backoffs.opens_at(C, TARGET, now), now);
+    assert_eq!(backoffs.available_at(C, TARGET, now), now);
     backoffs.record_refusal(A, TARGET, PLAIN, now);
-    assert_eq!(backoffs.opens_at(C, TARGET, now), now + FIRST_PAUSE);
+    assert_eq!(backoffs.available_at(C, TARGET, now), now + FIRST_PAUSE);
 }
 
 #[test]
 fn a_target_on_trial_gets_one_request_at_a_time_until_it_runs_one() {
     let mut backoffs = Backoffs::default();
     backoffs.record_sent(TARGET, SECOND);
-    assert_eq!(backoffs.opens_at(A, TARGET, SECOND), SECOND);
+    assert_eq!(backoffs.available_at(A, TARGET, SECOND), SECOND);
     backoffs.record_refusal(A, TARGET, PLAIN, SECOND);
     let now = SECOND + FIRST_PAUSE;
     backoffs.record_sent(TARGET, now);
-    assert_eq!(backoffs.opens_at(A, TARGET, now), now + TRIAL_INTERVAL);
+    assert_eq!(backoffs.available_at(A, TARGET, now), now + TRIAL_INTERVAL);
     assert_eq!(backoffs.next_end(now), Some(now + TRIAL_INTERVAL));
     backoffs.record_running(TARGET, now);
-    assert_eq!(backoffs.opens_at(A, TARGET, now), now);
+    assert_eq!(backoffs.available_at(A, TARGET, now), now);
 }
 
 #[test]
@@ -105,10 +108,13 @@
     backoffs.record_refusal(A, TARGET, PLAIN, SECOND);
     let within = SECOND + FIRST_PAUSE / 2;
     backoffs.record_running(TARGET, within);
-    assert_eq!(backoffs.opens_at(A, TARGET, within), SECOND + FIRST_PAUSE);
+    assert_eq!(
+        backoffs.available_at(A, TARGET, within),
+        SECOND + FIRST_PAUSE
+    );
     backoffs.record_refusal(A, TARGET, PLAIN, SECOND + FIRST_PAUSE);
     let opens = SECOND + FIRST_PAUSE * 3;
-    assert_eq!(backoffs.opens_at(A, TARGET, within), opens);
+    assert_eq!(backoffs.available_at(A, TARGET, within), opens);
 }
 
 #[test]
@@ -116,7 +122,7 @@
     let mut backoffs = Backoffs::default();
     backoffs.record_refusal(A, TARGET, refusal(SECOND * 60), SECOND);
     backoffs.forget(TARGET);
-    assert_eq!(backoffs.opens_at(A, TARGET, SECOND), SECOND);
+    assert_eq!(backoffs.available_at(A, TARGET, SECOND), SECOND);
     backoffs.record_refusal(A, TARGET, refusal(SECOND), SECOND);
     assert_eq!(backoffs.named_to(A, SECOND).count(), 1);
     assert_eq!(backoffs.prune(A, SECOND * 3), [TARGET]);
@@ -164,7 +170,7 @@
                     table.forget(TARGET);
                 }
             }
-            if backoffs[owner].opens_at(router, TARGET, now) > now {
+            if backoffs[owner].available_at(router, TARGET, now) > now {
                 continue;
             }
             // Final check at the router itself.
@@ -202,7 +208,7 @@
         }
         let end = now + SECOND + MAX_PAUSE;
         for table in &backoffs {
-            assert_eq!(table.opens_at(A, TARGET, end), end, "seed {seed}");
+            assert_eq!(table.available_at(A, TARGET, end), end, "seed {seed}");
         }
     }
 }
--- a/crates/path/src/state/barred.rs
+++ b/crates/path/src/state/barred.rs
@@ -94,7 +94,7 @@
     /// The same for the callers of any router, as the owner of the cell knows.
     pub(crate) fn opening_for(&self, wish: &Wish, now: Duration) -> Opening {
         self.first_opening(wish.cell, |tag| {
-            let opens = self.backoffs.opens_at(wish.router, tag, now);
+            let opens = self.backoffs.available_at(wish.router, tag, now);
             Some(opens).filter(|it| *it > now)
         })
     }
--- a/crates/path/src/state/candidates.rs
+++ b/crates/path/src/state/candidates.rs
@@ -25,7 +25,7 @@
         let usable = |target: &&Arc<Target>| {
             let tag = target.tag();
             self.open(target)
-                && self.backoffs.opens_at(wish.router, tag, now) <= now
+                && self.backoffs.available_at(wish.router, tag, now) <= now
                 && !self.reported.is_ejected(tag, now)
                 && !wish.avoid.contains(&tag)
         };
