--- a/crates/dispatch/src/backoff.rs
+++ b/crates/dispatch/src/backoff.rs
@@ -180,7 +180,11 @@
     }
 
     /// Remaining backoff times that targets requested from a router.
-    pub fn named_to(&self, router: Peer, now: Duration) -> impl Iterator<Item = (Tag, Refusal)> {
+    pub fn backoffs_for(
+        &self,
+        router: Peer,
+        now: Duration,
+    ) -> impl Iterator<Item = (Tag, Refusal)> {
         let tags = self.records.keys();
         tags.filter_map(move |tag| {
             let until = self.backoff_until(router, *tag, now)?;
--- a/crates/dispatch/tests/backoff.rs
+++ b/crates/dispatch/tests/backoff.rs
@@ -124,7 +124,7 @@
     backoffs.forget(TARGET);
     assert_eq!(backoffs.available_at(A, TARGET, SECOND), SECOND);
     backoffs.record_refusal(A, TARGET, refusal(SECOND), SECOND);
-    assert_eq!(backoffs.named_to(A, SECOND).count(), 1);
+    assert_eq!(backoffs.backoffs_for(A, SECOND).count(), 1);
     assert_eq!(backoffs.prune(A, SECOND * 3), [TARGET]);
     assert_eq!(backoffs.prune(A, SECOND * 6), []);
     assert_eq!(backoffs.next_end(SECOND), None);
@@ -157,7 +157,7 @@
                 // Each router reports the backoffs requested from it to a new owner.
                 owner = random.random_range(0..4);
                 for (reporter, peer) in routers.iter().enumerate() {
-                    let reported: Vec<_> = backoffs[reporter].named_to(*peer, now).collect();
+                    let reported: Vec<_> = backoffs[reporter].backoffs_for(*peer, now).collect();
                     for (tag, refusal) in reported {
                         backoffs[owner].record_backoff(*peer, tag, refusal, now);
                     }
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -247,7 +247,7 @@
         }
         let mut owners = HashSet::new();
         let recent = state.memory.recent(USES_TOLD, now);
-        let refusals: Vec<_> = state.backoffs.named_to(node.peer, now).collect();
+        let refusals: Vec<_> = state.backoffs.backoffs_for(node.peer, now).collect();
         for (cell, targets) in state.registry.all_cells() {
             let owner = state.members.owner(cell, now);
             let before = self.owners.insert(cell, owner);
