--- a/crates/dispatch/src/backoff.rs
+++ b/crates/dispatch/src/backoff.rs
@@ -195,7 +195,7 @@
 
     /// Next end of a backoff, a pause or a trial interval, for which requests may wait.
     #[must_use]
-    pub fn next_end(&self, now: Duration) -> Option<Duration> {
+    pub fn next_expiry(&self, now: Duration) -> Option<Duration> {
         let ends = self.records.values().flat_map(Record::ends);
         ends.filter(|it| now < *it).min()
     }
--- a/crates/dispatch/tests/backoff.rs
+++ b/crates/dispatch/tests/backoff.rs
@@ -97,7 +97,7 @@
     let now = SECOND + FIRST_PAUSE;
     backoffs.record_sent(TARGET, now);
     assert_eq!(backoffs.available_at(A, TARGET, now), now + TRIAL_INTERVAL);
-    assert_eq!(backoffs.next_end(now), Some(now + TRIAL_INTERVAL));
+    assert_eq!(backoffs.next_expiry(now), Some(now + TRIAL_INTERVAL));
     backoffs.record_running(TARGET, now);
     assert_eq!(backoffs.available_at(A, TARGET, now), now);
 }
@@ -127,7 +127,7 @@
     assert_eq!(backoffs.backoffs_for(A, SECOND).count(), 1);
     assert_eq!(backoffs.prune(A, SECOND * 3), [TARGET]);
     assert_eq!(backoffs.prune(A, SECOND * 6), []);
-    assert_eq!(backoffs.next_end(SECOND), None);
+    assert_eq!(backoffs.next_expiry(SECOND), None);
 }
 
 /// A requested backoff, as the naive model records it.
--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -132,7 +132,7 @@
         let end = {
             let state = self.state.borrow();
             let waits = !state.queue.is_empty();
-            let end = state.backoffs.next_end(passed_at);
+            let end = state.backoffs.next_expiry(passed_at);
             end.filter(|_| waits)
         };
         match end {
--- a/crates/path/src/state/tests/refusing.rs
+++ b/crates/path/src/state/tests/refusing.rs
@@ -156,7 +156,7 @@
         };
         assert_eq!(wait.closed_for.is_none(), waits);
         assert_eq!(fleet.owner.queue.len(), usize::from(waits));
-        let end = fleet.owner.backoffs.next_end(START);
+        let end = fleet.owner.backoffs.next_expiry(START);
         assert_eq!(end, Some(START + time));
         let pass = fleet.owner.pass(&settings, START + time);
         assert_eq!(pass.peers.len(), usize::from(waits));
