--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -1,12 +1,12 @@
 //! Quarantine of request contents that terminate the targets on which they run.
 //!
-//! A target that terminates fails all its runs, most of which have not caused the termination, so
-//! a single termination does not identify the cause. A content that causes terminations never
+//! A target that terminates fails all its runs, most of which have not caused the termination, so a
+//! single termination does not identify the cause. A content that causes terminations never
 //! completes, though. So the ledger counts for each content the targets that terminated while they
-//! ran it since its last answer; an answer clears it. With [`SUSPECT_ENDS`] of them or more, the content
-//! is kept away from other suspects, so that the next termination has only one possible cause. With
-//! [`QUARANTINE_ENDS`] it is not sent for a hold time, which grows with each trial after a hold that
-//! terminates a target again.
+//! ran it since its last answer; an answer clears it. With [`SUSPECT_ENDS`] of them or more, the
+//! content is kept away from other suspects, so that the next termination has only one possible
+//! cause. With [`QUARANTINE_ENDS`] it is not sent for a hold time, which grows with each trial
+//! after a hold that terminates a target again.
 //!
 //! Each termination has one cause. Terminations that count against a quarantined content are not
 //! counted against any other content, so contents that ran beside it are released, and the other
@@ -76,7 +76,7 @@
     Open,
     /// The target has terminated.
     Ended,
-    /// The target is alive: the run failed for another reason.
+    /// The target is alive, or left as announced: the run failed for another reason.
     Alive,
 }
 
