--- a/crates/dispatch/tests/restore.rs
+++ b/crates/dispatch/tests/restore.rs
@@ -7,7 +7,7 @@
 
 use dunlinward_dispatch::content::Digest;
 use dunlinward_dispatch::evacuation::{Change, Evacuations, Order};
-use dunlinward_dispatch::quarantine::{Entry, Fate, Finding, Ledger};
+use dunlinward_dispatch::quarantine::{Entry, Finding, Ledger, Resolution};
 use dunlinward_dispatch::registry::{ENTRY_EXPIRY, OUTAGE_GAP, REAPPEARANCE_GRACE, Registry};
 use dunlinward_dispatch::store::{Era, Observation, Position, RESTORE_WINDOW};
 use dunlinward_dispatch::target::{State, Tag, Target};
@@ -406,9 +406,9 @@
         let finding = Finding {
             content,
             target: Tag(target),
-            fate: Fate::Ended,
+            resolution: Resolution::Ended,
         };
-        ledger.take(finding, Duration::ZERO);
+        ledger.apply(finding, Duration::ZERO);
     }
     ledger
 }
@@ -419,10 +419,13 @@
     let content = Digest(5);
     let mut ledger = quarantined(content);
     let stored: Vec<Entry> = ledger.entries(now).collect();
-    assert!(ledger.unkept(&stored, now).is_empty(), "all is stored");
-    assert_eq!(ledger.unkept(&[], now), stored, "the backup lacks it");
-    ledger.answered(content.tag(), now);
-    let dropped = ledger.unkept(&stored, now);
+    assert!(
+        ledger.missing_from(&stored, now).is_empty(),
+        "all is stored"
+    );
+    assert_eq!(ledger.missing_from(&[], now), stored, "the backup lacks it");
+    ledger.record_answer(content.tag(), now);
+    let dropped = ledger.missing_from(&stored, now);
     assert_eq!(
         dropped.len(),
         1,
@@ -430,7 +433,7 @@
     );
     assert!(dropped[0].ends.is_empty());
     assert!(
-        ledger.unkept(&[], now).is_empty(),
+        ledger.missing_from(&[], now).is_empty(),
         "nothing is to be dropped"
     );
 }
--- a/crates/path/src/cut.rs
+++ b/crates/path/src/cut.rs
@@ -13,9 +13,9 @@
 
 use dunlinward_dispatch::cell::Cell;
 use dunlinward_dispatch::content::Digest;
-use dunlinward_dispatch::cuts::Telling;
 use dunlinward_dispatch::health::Outcome;
-use dunlinward_dispatch::quarantine::{Fate, Finding};
+use dunlinward_dispatch::interruptions::Report;
+use dunlinward_dispatch::quarantine::{Finding, Resolution};
 use dunlinward_dispatch::report::Content;
 use dunlinward_dispatch::target::{State as Condition, Target};
 
@@ -48,8 +48,8 @@
             return;
         }
         state.answered.forget(content);
-        let asked = state.cuts.open(tag);
-        (asked, state.cuts.note(content, tag, cell, now))
+        let asked = state.cuts.has_open(tag);
+        (asked, state.cuts.record(content, tag, cell, now))
     };
     tell(node, &[telling]);
     if !asked && how == Break::Closed {
@@ -75,7 +75,7 @@
 
 /// A new connection to a target was opened.
 pub(crate) fn reached(node: &Node, target: &Target) {
-    settle(node, target, Fate::Alive);
+    settle(node, target, Resolution::Alive);
 }
 
 /// No connection to a target could be had. If it was refused, nobody listens there any more.
@@ -83,7 +83,7 @@
     let refused = matches!(error, Error::Connect { source, .. }
         if source.kind() == ErrorKind::ConnectionRefused);
     if refused {
-        settle(node, target, Fate::Ended);
+        settle(node, target, Resolution::Ended);
     }
 }
 
@@ -91,19 +91,19 @@
 pub(crate) fn ended(node: &Node, target: &Target) {
     // One that had said that it leaves has not ended under its runs.
     let fate = if target.state == Condition::Leaving {
-        Fate::Alive
+        Resolution::Alive
     } else {
-        Fate::Ended
+        Resolution::Ended
     };
     settle(node, target, fate);
 }
 
-fn settle(node: &Node, target: &Target, fate: Fate) {
-    let settled = node.state.borrow_mut().cuts.settle(target.tag(), fate);
+fn settle(node: &Node, target: &Target, fate: Resolution) {
+    let settled = node.state.borrow_mut().cuts.resolve(target.tag(), fate);
     if settled.is_empty() {
         return;
     }
-    if fate == Fate::Ended {
+    if fate == Resolution::Ended {
         node.metrics.add("targets_down", &target.service, 1);
         let line = node.journal.line("target_down");
         let line = line.with("target", target.id.as_ref());
@@ -113,7 +113,7 @@
 }
 
 /// Takes over what this router has found, and tells whoever owns the target's cell.
-fn tell(node: &Node, tellings: &[Telling]) {
+fn tell(node: &Node, tellings: &[Report]) {
     let Some(first) = tellings.first() else {
         return;
     };
@@ -131,7 +131,7 @@
 
 /// Tells once more what may have been lost on its way.
 pub(crate) fn tell_again(node: &Node) {
-    let again = node.state.borrow_mut().cuts.again(node.now());
+    let again = node.state.borrow_mut().cuts.next_repeats(node.now());
     for cell in again.chunk_by(|one, next| one.cell == next.cell) {
         let findings = cell.iter().map(|it| it.finding);
         send(node, cell[0].cell, findings.collect());
--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -131,7 +131,7 @@
         if outcome == Outcome::Good
             && let Some(run) = self.run.take()
         {
-            node.state.borrow_mut().answered.note(run.content);
+            node.state.borrow_mut().answered.record(run.content);
             quarantine::answered(&node, run.content.tag());
         }
     }
@@ -189,7 +189,7 @@
             let (tag, now) = (self.target.tag(), node.now());
             let mut state = node.state.borrow_mut();
             let own = node.peer;
-            state.backoffs.note_refused(own, tag, refusal, now);
+            state.backoffs.record_refusal(own, tag, refusal, now);
         }
     }
 
@@ -206,7 +206,7 @@
         {
             let mut state = node.state.borrow_mut();
             state.usage.read(tag, unread);
-            state.backoffs.note_running(tag, node.now());
+            state.backoffs.record_running(tag, node.now());
         }
         self.tell(&node, Content::Read { tag, unread });
         node.room_came();
--- a/crates/path/src/quarantine.rs
+++ b/crates/path/src/quarantine.rs
@@ -2,7 +2,7 @@
 //! operators see and lift.
 
 use dunlinward_dispatch::content::{ContentTag, Digest};
-use dunlinward_dispatch::quarantine::{Change, Entry, Finding, SUSPECT, Standing};
+use dunlinward_dispatch::quarantine::{Change, Entry, Finding, SUSPECT_ENDS, Status};
 use dunlinward_dispatch::target::Tag;
 use tokio::sync::{Mutex, mpsc};
 
@@ -33,7 +33,7 @@
             .state
             .borrow_mut()
             .quarantine
-            .take(*finding, node.now());
+            .apply(*finding, node.now());
         if let Some(change) = change {
             to_be_written(node, finding.content, change);
             tell_change(node, finding.content, Some(finding.target), change);
@@ -47,7 +47,7 @@
     let (digest, change) = {
         let mut state = node.state.borrow_mut();
         let digest = state.quarantine.content(content);
-        (digest, state.quarantine.answered(content, now))
+        (digest, state.quarantine.record_answer(content, now))
     };
     if let (Some(digest), Some(change)) = (digest, change) {
         to_be_written(node, digest, change);
@@ -61,7 +61,7 @@
     let state = node.state.borrow();
     let mut entries = state.quarantine.entries(now);
     let entry = entries.find(|it| it.content == content);
-    let Some(entry) = entry.filter(|_| !matches!(change, Change::Charged(_))) else {
+    let Some(entry) = entry.filter(|_| !matches!(change, Change::EndRecorded(_))) else {
         return;
     };
     if node.unwritten.sender.send(entry).is_err() {
@@ -72,14 +72,14 @@
 
 fn tell_change(node: &Node, content: Digest, target: Option<Tag>, change: Change) {
     let (event, ends) = match change {
-        Change::Charged(ends) => ("content_charged", ends),
+        Change::EndRecorded(ends) => ("content_charged", ends),
         Change::Quarantined(ends) => ("content_quarantined", ends),
         Change::Cleared => ("content_cleared", 0),
     };
     node.metrics.add("contents", event, 1);
     let state = node.state.borrow();
     let target = target.and_then(|it| state.registry.get(it)).cloned();
-    let quarantined = state.quarantine.quarantined(node.now());
+    let quarantined = state.quarantine.quarantined_count(node.now());
     drop(state);
     let line = node.journal.line(event);
     let line = line.with("content", content.to_string());
@@ -87,7 +87,7 @@
     let line = line.with("target", target.map(|it| it.id.to_string()));
     drop(line.with("quarantined", quarantined));
     // A first end is the owner's alone to know.
-    if !matches!(change, Change::Charged(ends) if ends < SUSPECT) {
+    if !matches!(change, Change::EndRecorded(ends) if ends < SUSPECT_ENDS) {
         gossip::spread(node);
     }
 }
@@ -97,12 +97,12 @@
     pub fn take_quarantine(&self, entries: &[Entry]) {
         self.state.borrow_mut().quarantine_known = true;
         for entry in entries {
-            let change = self.state.borrow_mut().quarantine.join(entry, self.now());
+            let change = self.state.borrow_mut().quarantine.merge(entry, self.now());
             let Some(change) = change else {
                 continue;
             };
             // Who tells of a quarantine has it written. This one is the sum of what both knew.
-            if !entry.guilty && matches!(change, Change::Quarantined(_)) {
+            if !entry.confirmed && matches!(change, Change::Quarantined(_)) {
                 to_be_written(self, entry.content, change);
             }
             tell_change(self, entry.content, None, change);
@@ -111,7 +111,7 @@
 
     /// An operator says that a content is sound; false if nothing is held against it.
     pub(crate) fn lift(&self, content: Digest) -> bool {
-        if self.standing_of(content) == Standing::Free {
+        if self.standing_of(content) == Status::Free {
             return false;
         }
         let line = self.journal.line("quarantine_lifted");
@@ -128,8 +128,8 @@
         let mut lines: Vec<_> = entries
             .filter(|it| !it.ends.is_empty())
             .map(|it| {
-                let left = match state.quarantine.standing(it.content, now) {
-                    Standing::Quarantined(left) => left.as_secs(),
+                let left = match state.quarantine.status(it.content, now) {
+                    Status::Quarantined(left) => left.as_secs(),
                     _ => 0,
                 };
                 let content = it.content.to_string();
@@ -162,13 +162,13 @@
     #[must_use]
     pub fn unkept_quarantine(&self, stored: &[Entry]) -> Vec<Entry> {
         let state = self.state.borrow();
-        state.quarantine.unkept(stored, self.now())
+        state.quarantine.missing_from(stored, self.now())
     }
 
     /// What may be done with a content.
     #[must_use]
-    pub(crate) fn standing_of(&self, content: Digest) -> Standing {
+    pub(crate) fn standing_of(&self, content: Digest) -> Status {
         let state = self.state.borrow();
-        state.quarantine.standing(content, self.now())
+        state.quarantine.status(content, self.now())
     }
 }
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -14,11 +14,11 @@
 use dunlinward_dispatch::cold::{self, Cold, Peak};
 use dunlinward_dispatch::configuration::Table;
 use dunlinward_dispatch::content::ContentTag;
-use dunlinward_dispatch::copies::{Answered, Copies};
-use dunlinward_dispatch::cuts::Cuts;
 use dunlinward_dispatch::evacuation::{self, Evacuations};
 use dunlinward_dispatch::grants::Grants;
 use dunlinward_dispatch::health::{Health, Outcome};
+use dunlinward_dispatch::inflight::{Answered, InFlight};
+use dunlinward_dispatch::interruptions::Interruptions;
 use dunlinward_dispatch::member::{Descriptor, Members};
 use dunlinward_dispatch::membership::{Change as MemberChange, Effects, Membership};
 use dunlinward_dispatch::prefix::{Memory, Prompt};
@@ -158,9 +158,9 @@
     /// Whether what the store keeps of such contents is known, read or heard.
     pub(crate) quarantine_known: bool,
     /// Runs of this router that did not end with an answer.
-    pub(crate) cuts: Cuts,
+    pub(crate) cuts: Interruptions,
     /// Where contents run for which this router gave places.
-    pub(crate) copies: Copies,
+    pub(crate) copies: InFlight,
     /// Contents that this router's callers were answered.
     pub(crate) answered: Answered,
     engines_seen: usize,
@@ -209,8 +209,8 @@
             grants: Grants::new(settings.share_window),
             quarantine: Ledger::new(),
             quarantine_known: false,
-            cuts: Cuts::new(),
-            copies: Copies::new(),
+            cuts: Interruptions::new(),
+            copies: InFlight::new(),
             answered: Answered::new(),
             engines_seen: 0,
         }
@@ -390,7 +390,7 @@
     pub(crate) fn note(&mut self, target: &Target, outcome: Outcome, now: Duration) -> bool {
         self.doubt_cold(target, outcome, now);
         if outcome == Outcome::Good {
-            self.backoffs.note_running(target.tag(), now);
+            self.backoffs.record_running(target.tag(), now);
         }
         let targets = self.registry.targets_of_service(&target.service);
         note(&mut self.health, targets, target, outcome, now)
@@ -419,7 +419,7 @@
     pub(crate) fn avoided(&self, cell: Cell, now: Duration) -> Vec<Tag> {
         let targets = self.registry.targets_of_cell(cell);
         let tags = targets.iter().map(|it| it.tag());
-        tags.filter(|it| self.health.ejected(*it, now)).collect()
+        tags.filter(|it| self.health.is_ejected(*it, now)).collect()
     }
 }
 
@@ -430,10 +430,10 @@
     outcome: Outcome,
     now: Duration,
 ) -> bool {
-    let ejected = targets.iter().filter(|it| health.ejected(it.tag(), now));
+    let ejected = targets.iter().filter(|it| health.is_ejected(it.tag(), now));
     let enough = ejected.count() * EJECTED_PART >= targets.len();
     if outcome == Outcome::Bad && enough {
         return false;
     }
-    health.note(target.tag(), outcome, now)
+    health.record(target.tag(), outcome, now)
 }
--- a/crates/path/src/state/suspects.rs
+++ b/crates/path/src/state/suspects.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dunlinward_dispatch::placement::Candidate;
-use dunlinward_dispatch::quarantine::Standing;
+use dunlinward_dispatch::quarantine::Status;
 use dunlinward_dispatch::target::Target;
 
 use super::{State, Wish};
@@ -12,8 +12,10 @@
 impl State {
     /// Whether a request must not be sent now for what its content may have done.
     pub(crate) fn held(&self, wish: &Wish, now: Duration) -> bool {
-        let standing = wish.content.map(|it| self.quarantine.standing_of(it, now));
-        matches!(standing, Some(Standing::Held | Standing::Quarantined(_)))
+        let standing = wish
+            .content
+            .map(|it| self.quarantine.status_by_tag(it, now));
+        matches!(standing, Some(Status::Held | Status::Quarantined(_)))
     }
 
     /// Of these targets those at which a suspected content may run: the one where it runs already; else
@@ -28,7 +30,7 @@
         let Some(content) = wish.content else {
             return targets;
         };
-        let suspect = |it| self.quarantine.standing_of(it, now) != Standing::Free;
+        let suspect = |it| self.quarantine.status_by_tag(it, now) != Status::Free;
         if !suspect(content) {
             return targets;
         }
@@ -36,7 +38,7 @@
         if let Some(target) = targets.iter().find(|it| Some(it.tag()) == runs_at) {
             return vec![target];
         }
-        targets.retain(|it| !self.copies.at(it.tag()).any(suspect));
+        targets.retain(|it| !self.copies.contents_on(it.tag()).any(suspect));
         let running = |it: &Arc<Target>| self.usage.total(it.tag()).running;
         let least = targets.iter().map(|it| running(it)).min();
         targets.retain(|it| Some(running(it)) == least);
--- a/crates/path/src/state/tests/suspects.rs
+++ b/crates/path/src/state/tests/suspects.rs
@@ -2,7 +2,7 @@
 
 use dunlinward_dispatch::content::{ContentTag, Digest};
 use dunlinward_dispatch::grants;
-use dunlinward_dispatch::quarantine::{Fate, Finding};
+use dunlinward_dispatch::quarantine::{Finding, Resolution};
 
 use super::*;
 
@@ -17,9 +17,9 @@
                 content: Digest(*content),
                 // Of each content other targets, none of which runs any more.
                 target: Tag(1_000 * u32::try_from(*content).expect("small") + target),
-                fate: Fate::Ended,
+                resolution: Resolution::Ended,
             };
-            fleet.owner.quarantine.take(finding, NOW);
+            fleet.owner.quarantine.apply(finding, NOW);
         }
     }
     fleet
@@ -53,7 +53,7 @@
     assert_eq!(again, first, "it puts no other target at risk");
     // Both of the others are free of suspects; only these two are not.
     assert_eq!(
-        fleet.owner.copies.at(first).collect::<Vec<_>>(),
+        fleet.owner.copies.contents_on(first).collect::<Vec<_>>(),
         [ContentTag(1)]
     );
 }
