--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -1,6 +1,7 @@
-//! Which target runs a request.
+//! Target selection for requests.
 //!
-//! Model engines are chosen in [`engine`], plain targets here, by their free slots.
+//! Plain targets are selected here by slot utilization, model engines in [`engine`] by estimated
+//! prefill work.
 
 mod engine;
 
@@ -12,23 +13,24 @@
 use crate::target::Target;
 use crate::usage::Load;
 
-/// Figures by which targets are chosen.
+/// Parameters of target selection.
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
-    /// Part of an engine's slots that is used.
+    /// Largest ratio of an engine's slots that is used.
     pub fill: f64,
-    /// Part of the objective that may be taken by reading prompts.
+    /// Time for prefill at an engine, as a multiple of the request's objective.
     pub reading: f64,
-    /// Weight of a prefix that is read anew, against its tokens.
+    /// Extra cost of a token of a shared prefix that has to be recomputed, in tokens.
     pub miss: f64,
-    /// Part of a target's room that a request may use whose prefix is read anew there.
+    /// Ratio of a target's capacity that is available to a request whose prefix is recomputed
+    /// there.
     pub miss_room: f64,
-    /// Times its own length that a fetch from another engine's memory counts, as it takes the links
-    /// and the memory of both.
+    /// Extra cost of a fetch from another engine's cache, as a multiple of its duration: it
+    /// occupies the links and the memory of both engines.
     pub fetch: f64,
-    /// Tokens by which one more running request counts.
+    /// Cost of each running request, in tokens.
     pub running: f64,
-    /// Requests at a plain target for each of its slots.
+    /// Largest number of requests per slot at a plain target.
     pub queue: f64,
 }
 
@@ -46,69 +48,69 @@
     }
 }
 
-/// A target with what is known of it.
+/// A target that may run a request, with its known state.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     /// The target.
     pub target: Arc<Target>,
-    /// Work of all routers there.
+    /// Load from all routers.
     pub load: Load,
-    /// Whether it is in the router's own failure domain.
+    /// Whether it is in the failure domain of the router that received the request.
     pub local: bool,
-    /// Whether it is taken to keep the request's prefix, from what was sent there.
+    /// Whether it is assumed to cache the request's prefix, from the requests sent there.
     pub keeps: bool,
-    /// What it has of the request's shared parts, if it has told lately.
+    /// Cached tokens of the request's shared parts; none without a recent report.
     pub held: Option<Held>,
 }
 
-/// A request that looks for a target.
+/// A request that needs a target.
 #[derive(Clone, Debug)]
 pub struct Ask<'a> {
-    /// The prompt, if it is for a model engine.
+    /// The prompt; none unless the request is for a model engine.
     pub prompt: Option<&'a Prompt>,
-    /// Time to the first event that users expect.
+    /// Objective for the time to the first event.
     pub objective: Duration,
-    /// Tokens a second that one engine reads.
+    /// Prefill rate of one engine, in tokens per second.
     pub rate: f64,
-    /// Seconds in which an engine fetches one token from another's memory; none if it can't.
+    /// Seconds per token of a fetch from another engine's cache; none if fetches are not supported.
     pub fetch_seconds: Option<f64>,
-    /// Part of the room that the request may use, 0 to 1.
+    /// Ratio of the capacity that the request may use, 0 to 1.
     pub room: f64,
-    /// Times the standard part of that room where its prefix is read anew.
+    /// Factor on [`Policy::miss_room`] for this request.
     pub miss_scale: f64,
-    /// Whether memory may be moved for it.
+    /// Whether cached prefixes may be fetched from other engines for it.
     pub may_fetch: bool,
-    /// How long it has waited.
+    /// Time since its arrival.
     pub waited: Duration,
-    /// Whether it has waited long enough to be read anew where its prefix is not.
+    /// Whether its prefix may be recomputed at an engine that does not cache it.
     pub may_miss: bool,
-    /// Spreads ties.
+    /// Random value that breaks ties between plain targets.
     pub draw: u64,
 }
 
-/// The target chosen.
+/// The selected target.
 #[derive(Clone, Debug)]
 pub struct Choice {
     /// The target.
     pub target: Arc<Target>,
-    /// Tokens that it has to read.
+    /// Prompt tokens to prefill there.
     pub unread: u64,
-    /// Whether the shared prefix is taken to be there.
+    /// Whether the shared prefix is expected in the target's cache.
     pub hit: bool,
-    /// The target from whose memory it is to fetch what it lacks of the prefix.
+    /// The target from whose cache the missing part of the prefix is fetched.
     pub fetch: Option<Arc<Target>>,
 }
 
-/// Chooses a target, or none if no candidate has room.
+/// Selects a target; none if no candidate has capacity.
 #[must_use]
 pub fn choose(policy: &Policy, ask: &Ask<'_>, candidates: &[Candidate]) -> Option<Choice> {
     match ask.prompt {
         Some(prompt) => engine::choose(policy, ask, prompt, candidates),
-        None => plain(policy, ask, candidates),
+        None => choose_plain(policy, ask, candidates),
     }
 }
 
-fn plain(policy: &Policy, ask: &Ask<'_>, candidates: &[Candidate]) -> Option<Choice> {
+fn choose_plain(policy: &Policy, ask: &Ask<'_>, candidates: &[Candidate]) -> Option<Choice> {
     let mut best: Option<(f64, u64, Choice)> = None;
     for candidate in candidates {
         let slots = f64::from(candidate.target.slots.max(1));
@@ -116,11 +118,11 @@
         if running + 1.0 > slots * policy.queue * ask.room {
             continue;
         }
-        let remote = if candidate.local { 0.0 } else { 0.5 };
-        let cost = (running + remote) / slots;
+        let remote_penalty = if candidate.local { 0.0 } else { 0.5 };
+        let cost = (running + remote_penalty) / slots;
         let tie = prefix::weight(Prefix(ask.draw), candidate.target.tag());
-        let better = best.as_ref().is_none_or(|(least, least_tie, _)| {
-            cost < *least || (cost <= *least && tie < *least_tie)
+        let better = best.as_ref().is_none_or(|(best_cost, best_tie, _)| {
+            cost < *best_cost || (cost <= *best_cost && tie < *best_tie)
         });
         if better {
             let target = candidate.target.clone();
--- a/crates/dispatch/src/placement/engine.rs
+++ b/crates/dispatch/src/placement/engine.rs
@@ -1,17 +1,19 @@
-//! Which model engine runs a request.
+//! Selection of a model engine.
 //!
-//! An engine reads prompts one after another, so what a request waits for its first token is the
-//! unread prompt tokens before it, its own, and what the engine lacks of its shared prefix. Each
-//! candidate's cost is that sum; the cheapest that can begin within the request's objective is
-//! chosen.
+//! An engine prefills prompts in order of arrival, so the time to a request's first token is
+//! determined by the prompt tokens queued before it, its own tokens, and the part of its shared
+//! prefix that the engine does not cache. The cost of a candidate is this sum plus weighted costs
+//! for other requests; the cheapest candidate whose prefill queue fits the request's objective is
+//! selected.
 //!
-//! Where engines tell what they keep, the lacking part is fetched from the memory of the engine
-//! that keeps most of it, which takes far less time than reading it, so a request goes where least
-//! waits and not where its prefix happens to be. Only what no engine keeps is read.
+//! If an engine reports its cache, the missing part of the prefix is fetched from the engine that
+//! caches most of it. A fetch takes far less time than prefill, so a request goes to the engine
+//! with the shortest queue, whether or not its prefix is cached there. Only tokens that no engine
+//! caches, or that are too few for a fetch or cannot be fetched, are prefilled.
 //!
-//! Where an engine tells nothing, what was sent there is taken for kept. Reading a prefix anew then
-//! costs more than its time, as it also takes memory and time from others, and a prefix that none
-//! keeps has one home.
+//! If an engine reports nothing, the prefixes of requests sent there are assumed to be cached.
+//! Recomputing a prefix then costs more than its prefill time, as it also takes memory and time
+//! from other requests. A prefix that no engine caches is prefilled at one home engine.
 
 use std::sync::Arc;
 
@@ -19,28 +21,30 @@
 use crate::prefix::{self, Prefix, Prompt};
 use crate::target::{Tag, Target};
 
-/// Fewest tokens that are fetched: an engine keeps memory in blocks of some 16 tokens, and reads
-/// two of them in less time than a transfer takes to set up.
-const FETCHED_LEAST: u64 = 32;
+/// Smallest fetch. Engines cache blocks of about 16 tokens and prefill two of them in less time
+/// than the setup of a transfer takes.
+const MIN_FETCH_TOKENS: u64 = 32;
 
-/// Part of its budget that may be unread at an engine where a request begins that alone is larger
-/// than the budget.
-const LARGE_BEGINS: f64 = 0.1;
+/// Largest prefill queue, as a ratio of the request's budget, at which an engine gets a request
+/// that exceeds the budget.
+const OVERSIZED_MAX_QUEUE_RATIO: f64 = 0.1;
 
-/// What one candidate would have to do.
-struct Way {
-    /// Tokens that it has to read, and those that it could read in the time of a fetch.
+/// Work of one candidate for the request.
+struct Plan {
+    /// Tokens to prefill, plus the tokens that the engine could prefill during the fetch.
     unread: f64,
-    /// What the way costs others, as tokens.
-    burden: f64,
-    /// Whether all of the prefix is there.
+    /// Cost for other requests, in tokens.
+    external_cost: f64,
+    /// Whether the whole prefix is expected in the cache.
     hit: bool,
-    /// Whether only a part of the room may be used.
-    anew: bool,
+    /// Whether the prefix is recomputed away from its home, which may use only a part of the
+    /// capacity.
+    recompute: bool,
+    /// The engine to fetch the missing part of the prefix from.
     fetch: Option<Arc<Target>>,
 }
 
-/// Chooses an engine, or none if no candidate has room.
+/// Selects an engine; none if no candidate has capacity.
 #[expect(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
@@ -54,44 +58,48 @@
     candidates: &[Candidate],
 ) -> Option<Choice> {
     let prefix = prompt.prefix();
-    let kept = candidates.iter().any(|it| it.keeps);
-    let home = if kept { None } else { home(prefix, candidates) };
-    let source = source(candidates);
-    let left = ask.objective.saturating_sub(ask.waited).as_secs_f64();
-    let budget = ask.rate * left * policy.reading;
+    let cached = candidates.iter().any(|it| it.keeps);
+    let home = if cached {
+        None
+    } else {
+        rendezvous_target(prefix, candidates)
+    };
+    let source = fetch_source(candidates);
+    let remaining = ask.objective.saturating_sub(ask.waited).as_secs_f64();
+    let budget = ask.rate * remaining * policy.reading;
     let mut best: Option<(f64, Choice)> = None;
     for candidate in candidates {
-        if !has_slot(policy, candidate, ask.room) {
+        if !has_free_slot(policy, candidate, ask.room) {
             continue;
         }
-        let way = match candidate.held {
-            Some(held) => informed(policy, ask, prompt, candidate, held.expected, source),
-            None => guessed(policy, prompt, candidate, prefix, home),
+        let plan = match candidate.held {
+            Some(held) => plan_with_report(policy, ask, prompt, candidate, held.expected, source),
+            None => plan_without_report(policy, prompt, candidate, prefix, home),
         };
-        if way.anew && !ask.may_miss || way.fetch.is_some() && !ask.may_fetch {
+        if plan.recompute && !ask.may_miss || plan.fetch.is_some() && !ask.may_fetch {
             continue;
         }
-        let room = if way.anew {
+        let room = if plan.recompute {
             ask.room * (policy.miss_room * ask.miss_scale).min(1.0)
         } else {
             ask.room
         };
-        if way.anew && !has_slot(policy, candidate, room) {
+        if plan.recompute && !has_free_slot(policy, candidate, room) {
             continue;
         }
-        let before = candidate.load.unread as f64;
+        let queued = candidate.load.unread as f64;
         let allowed = budget * room;
-        if before + way.unread > allowed && before > allowed * LARGE_BEGINS {
+        if queued + plan.unread > allowed && queued > allowed * OVERSIZED_MAX_QUEUE_RATIO {
             continue;
         }
         let running = f64::from(candidate.load.running) * policy.running;
-        let cost = before + way.unread + way.burden + running;
-        if best.as_ref().is_none_or(|(least, _)| cost < *least) {
+        let cost = queued + plan.unread + plan.external_cost + running;
+        if best.as_ref().is_none_or(|(best_cost, _)| cost < *best_cost) {
             let choice = Choice {
                 target: candidate.target.clone(),
-                unread: way.unread.round() as u64,
-                hit: way.hit,
-                fetch: way.fetch,
+                unread: plan.unread.round() as u64,
+                hit: plan.hit,
+                fetch: plan.fetch,
             };
             best = Some((cost, choice));
         }
@@ -99,76 +107,76 @@
     best.map(|(_, choice)| choice)
 }
 
-/// Whether an engine has a free slot of the part of all slots that may be used.
-fn has_slot(policy: &Policy, candidate: &Candidate, room: f64) -> bool {
+/// Whether an engine has a free slot within the usable ratio of its slots.
+fn has_free_slot(policy: &Policy, candidate: &Candidate, room: f64) -> bool {
     let slots = f64::from(candidate.target.slots) * policy.fill * room;
     f64::from(candidate.load.running) + 1.0 <= slots.max(1.0)
 }
 
-/// The candidate that keeps most of the prefix, of those that have told.
-fn source(candidates: &[Candidate]) -> Option<(&Candidate, u64)> {
-    let told = candidates.iter().filter_map(|it| Some((it, it.held?.told)));
-    told.max_by_key(|(candidate, held)| (*held, std::cmp::Reverse(candidate.load.unread)))
+/// The candidate that reports most cached tokens of the prefix, and their number.
+fn fetch_source(candidates: &[Candidate]) -> Option<(&Candidate, u64)> {
+    let reported = candidates.iter().filter_map(|it| Some((it, it.held?.told)));
+    reported.max_by_key(|(candidate, cached)| (*cached, std::cmp::Reverse(candidate.load.unread)))
 }
 
-/// A candidate that has told how much of the prefix it keeps.
+/// The plan for an engine with a recent cache report.
 #[expect(
     clippy::cast_precision_loss,
     reason = "token counts are far below 2^52"
 )]
-fn informed(
+fn plan_with_report(
     policy: &Policy,
     ask: &Ask<'_>,
     prompt: &Prompt,
     candidate: &Candidate,
-    held: u64,
+    cached: u64,
     source: Option<(&Candidate, u64)>,
-) -> Way {
+) -> Plan {
     let shared = prompt.shared_tokens();
-    let fetched = source.map_or(0, |(_, most)| most.saturating_sub(held));
-    let (fetched, seconds) = match ask.fetch_seconds {
-        Some(seconds) if fetched >= FETCHED_LEAST => (fetched, seconds),
+    let fetched = source.map_or(0, |(_, most)| most.saturating_sub(cached));
+    let (fetched, seconds_per_token) = match ask.fetch_seconds {
+        Some(seconds_per_token) if fetched >= MIN_FETCH_TOKENS => (fetched, seconds_per_token),
         _ => (0, 0.0),
     };
-    let lacking = shared.saturating_sub(held + fetched) as f64;
+    let missing = shared.saturating_sub(cached + fetched) as f64;
     let fetch = source.filter(|_| fetched > 0);
-    let fetching = fetched as f64 * seconds * ask.rate;
-    Way {
-        unread: prompt.own_tokens() as f64 + lacking + fetching,
-        burden: lacking * policy.miss + fetching * policy.fetch,
-        hit: held >= shared || candidate.keeps && lacking <= 0.0,
-        anew: false,
+    let fetch_cost = fetched as f64 * seconds_per_token * ask.rate;
+    Plan {
+        unread: prompt.own_tokens() as f64 + missing + fetch_cost,
+        external_cost: missing * policy.miss + fetch_cost * policy.fetch,
+        hit: cached >= shared || candidate.keeps && missing <= 0.0,
+        recompute: false,
         fetch: fetch.map(|(it, _)| it.target.clone()),
     }
 }
 
-/// A candidate of which only is known what was sent there.
+/// The plan for an engine without a cache report, from the prefixes sent there.
 #[expect(
     clippy::cast_precision_loss,
     reason = "token counts are far below 2^52"
 )]
-fn guessed(
+fn plan_without_report(
     policy: &Policy,
     prompt: &Prompt,
     candidate: &Candidate,
     prefix: Option<Prefix>,
     home: Option<Tag>,
-) -> Way {
+) -> Plan {
     let hit = prefix.is_none() || candidate.keeps;
-    let anew = !hit && home != Some(candidate.target.tag());
+    let recompute = !hit && home != Some(candidate.target.tag());
     let shared = prompt.shared_tokens() as f64;
-    let lacking = if hit { 0.0 } else { shared };
-    Way {
-        unread: prompt.own_tokens() as f64 + lacking,
-        burden: if anew { shared * policy.miss } else { 0.0 },
+    let missing = if hit { 0.0 } else { shared };
+    Plan {
+        unread: prompt.own_tokens() as f64 + missing,
+        external_cost: if recompute { shared * policy.miss } else { 0.0 },
         hit,
-        anew,
+        recompute,
         fetch: None,
     }
 }
 
-/// Where a prefix is read that no target keeps.
-fn home(prefix: Option<Prefix>, candidates: &[Candidate]) -> Option<Tag> {
+/// The home of a prefix that no candidate caches, by rendezvous hashing.
+fn rendezvous_target(prefix: Option<Prefix>, candidates: &[Candidate]) -> Option<Tag> {
     let prefix = prefix?;
     let tags = candidates.iter().map(|it| it.target.tag());
     tags.max_by_key(|tag| prefix::weight(prefix, *tag))
