--- a/crates/dispatch/src/prefix.rs
+++ b/crates/dispatch/src/prefix.rs
@@ -1,10 +1,10 @@
-//! Prompt prefixes and the targets that keep them.
+//! Prompt prefixes and the targets that are assumed to cache them.
 //!
-//! An engine keeps what it has read of a prompt's shared parts until they have
-//! not been used for a while. Routers tell each other which prefix they sent
-//! where, so each knows the targets that keep one. A prefix that none keeps has
-//! a home by rendezvous hashing, the same at every router without a word
-//! between them, so that it is not read at two targets at once.
+//! An engine caches the shared parts of the prompts that it has prefilled, and evicts parts that
+//! have not been used for some time. Routers report which prefixes they sent to which targets, so
+//! that a router can derive where a prefix is cached. A prefix that no target caches has a home by
+//! rendezvous hashing, which all routers compute alike without communication, so that two targets
+//! do not prefill it at the same time.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -15,14 +15,15 @@
 use crate::cache::PartTag;
 use crate::target::Tag;
 
-/// Shortest time for which a target is taken to keep a prefix after its last use.
-const KEPT_LEAST: Duration = Duration::from_secs(5);
+/// Shortest time for which a prefix is assumed to be cached after its last use.
+const MIN_RETENTION: Duration = Duration::from_secs(5);
 
-/// Longest such time, and that for which uses are remembered.
-const KEPT_MOST: Duration = Duration::from_mins(1);
+/// Longest time for which a prefix is assumed to be cached after its last use, and for which uses
+/// are stored.
+const MAX_RETENTION: Duration = Duration::from_mins(1);
 
-/// How long an engine keeps what is not used: the time in which as much is read as its
-/// memory holds.
+/// How long an engine caches a prefix after its last use: the time in which it prefills as many
+/// tokens as its memory holds.
 #[must_use]
 #[expect(
     clippy::cast_precision_loss,
@@ -30,11 +31,11 @@
 )]
 pub fn kept(memory_tokens: u64, tokens_per_second: f64) -> Duration {
     let seconds = memory_tokens as f64 / tokens_per_second.max(1.0);
-    Duration::from_secs_f64(seconds.min(KEPT_MOST.as_secs_f64())).max(KEPT_LEAST)
+    Duration::from_secs_f64(seconds.min(MAX_RETENTION.as_secs_f64())).max(MIN_RETENTION)
 }
 
-/// Uses remembered at the most.
-const MOST: usize = 8_192;
+/// Largest number of stored uses.
+const MAX_USES: usize = 8_192;
 
 /// Identity of a prefix: the hash of its parts in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -43,28 +44,28 @@
 /// One part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// Short name of the part, as read by the model that is asked for.
+    /// Tag of the part under the requested model.
     pub id: PartTag,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u64,
 }
 
-/// A prompt as a request describes it.
+/// A prompt as described by the request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prompt {
-    /// Tokens in all.
+    /// Total length in tokens.
     pub tokens: u64,
-    /// Tokens that the answer may have at most.
+    /// Limit on the length of the answer, in tokens.
     pub answer_tokens: u64,
-    /// Its parts in order; the last is the request's own.
+    /// Parts in order; the last is specific to the request.
     pub parts: Vec<Part>,
 }
 
-/// The short name of a part that a caller names `id`, as `model` reads it.
+/// The tag of the part that a caller identifies by `id`, under `model`; it differs between models.
 #[must_use]
 #[expect(
     clippy::cast_possible_truncation,
-    reason = "a short name is the low half of the hash"
+    reason = "a tag is the low half of the hash"
 )]
 pub fn part_tag(model: &str, id: u64) -> PartTag {
     xxh64(&id.to_le_bytes(), xxh64(model.as_bytes(), 0)) as PartTag
@@ -84,13 +85,13 @@
         self.shared().iter().map(|it| it.tokens).sum()
     }
 
-    /// Tokens that only this request has.
+    /// Tokens that are specific to this request.
     #[must_use]
     pub fn own_tokens(&self) -> u64 {
         self.tokens.saturating_sub(self.shared_tokens())
     }
 
-    /// The same with no name for its own part, as short as it can be told to a peer.
+    /// The prompt without the tag of its own part, the shortest form for messages to peers.
     #[must_use]
     pub fn brief(&self) -> Self {
         let own = Part {
@@ -105,7 +106,7 @@
         }
     }
 
-    /// The prefix of all shared parts, if there is one.
+    /// The prefix of all shared parts; none without shared parts.
     #[must_use]
     pub fn prefix(&self) -> Option<Prefix> {
         let shared = self.shared();
@@ -119,7 +120,7 @@
     }
 }
 
-/// Weight of a target for a prefix; the largest is its home.
+/// Rendezvous weight of a target for a prefix; the target with the largest is its home.
 #[must_use]
 pub fn weight(prefix: Prefix, tag: Tag) -> u64 {
     xxh64(&tag.0.to_le_bytes(), prefix.0)
@@ -128,18 +129,18 @@
 /// A prefix that was sent to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Use {
-    /// Low half of the prefix's identity.
+    /// Low half of the prefix's hash.
     pub prefix: u32,
     /// The target.
     pub tag: Tag,
 }
 
 impl Use {
-    /// A use of a prefix at a target.
+    /// Creates a use of a prefix at a target.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
-        reason = "a short name is the low half of the hash"
+        reason = "uses carry the low half of the hash"
     )]
     pub fn new(prefix: Prefix, tag: Tag) -> Self {
         Self {
@@ -149,63 +150,64 @@
     }
 }
 
-/// Prefixes that were sent to targets lately, by this router and its peers.
+/// Prefixes that this router and its peers recently sent to targets.
 #[derive(Clone, Debug, Default)]
 pub struct Memory {
     uses: HashMap<Use, Duration>,
     recent: VecDeque<(Duration, Use)>,
-    /// Places that peers were given and have neither used nor withdrawn.
-    expected: HashMap<Use, u32>,
+    /// Number of grants to peers that have been neither used nor withdrawn.
+    granted: HashMap<Use, u32>,
 }
 
 impl Memory {
-    /// Nothing sent yet.
+    /// Creates an empty history.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that this router sends a prefix to a target.
+    /// Records that this router sends a prefix to a target.
     pub fn note(&mut self, prefix: Prefix, tag: Tag, now: Duration) {
         let used = Use::new(prefix, tag);
         self.hear(used, now);
         self.recent.push_back((now, used));
     }
 
-    /// Notes what a peer sent.
+    /// Records that a peer sent a prefix to a target; ignored while [`MAX_USES`] unexpired uses are
+    /// stored.
     pub fn hear(&mut self, used: Use, now: Duration) {
-        if self.uses.len() >= MOST {
+        if self.uses.len() >= MAX_USES {
             self.uses
-                .retain(|_, at| now.saturating_sub(*at) < KEPT_MOST);
+                .retain(|_, at| now.saturating_sub(*at) < MAX_RETENTION);
         }
-        if self.uses.len() < MOST {
+        if self.uses.len() < MAX_USES {
             self.uses.insert(used, now);
         }
     }
 
-    /// A peer was given a place, and so may send the prefix there. Until that is known, it counts as
-    /// sent: requests with the same prefix that come meanwhile go to the same target.
+    /// Records a grant to a peer, which may send the prefix to the target. Until the outcome is
+    /// known it counts as sent, so that further requests with the prefix go to the same target.
     pub fn expect(&mut self, used: Use) {
-        *self.expected.entry(used).or_default() += 1;
+        *self.granted.entry(used).or_default() += 1;
     }
 
-    /// A peer that was given a place uses it.
+    /// Records that a peer uses its grant.
     pub fn sent(&mut self, used: Use, now: Duration) {
         self.not_sent(used);
         self.hear(used, now);
     }
 
-    /// A peer that was given a place does not use it.
+    /// Records that a peer does not use its grant.
     pub fn not_sent(&mut self, used: Use) {
-        if let Some(count) = self.expected.get_mut(&used) {
+        if let Some(count) = self.granted.get_mut(&used) {
             *count -= 1;
             if *count == 0 {
-                self.expected.remove(&used);
+                self.granted.remove(&used);
             }
         }
     }
 
-    /// What this router sent within `time`, for its report.
+    /// Uses by this router within the last `time`, for its report.
     pub fn recent(&mut self, time: Duration, now: Duration) -> Vec<Use> {
         while self
             .recent
@@ -217,17 +219,18 @@
         self.recent.iter().map(|(_, used)| *used).collect()
     }
 
-    /// Whether a target is taken to keep a prefix that was used within `kept`.
+    /// Whether a target is assumed to cache a prefix: it was used there within `kept`, or a grant
+    /// for it is outstanding.
     #[must_use]
     pub fn keeps(&self, prefix: Prefix, tag: Tag, kept: Duration, now: Duration) -> bool {
         let used = Use::new(prefix, tag);
         let at = self.uses.get(&used);
-        self.expected.contains_key(&used) || at.is_some_and(|at| now.saturating_sub(*at) < kept)
+        self.granted.contains_key(&used) || at.is_some_and(|at| now.saturating_sub(*at) < kept)
     }
 
-    /// Forgets a target that has ended.
+    /// Removes a target that has ended.
     pub fn forget(&mut self, tag: Tag) {
         self.uses.retain(|it, _| it.tag != tag);
-        self.expected.retain(|it, _| it.tag != tag);
+        self.granted.retain(|it, _| it.tag != tag);
     }
 }
