--- a/crates/dispatch/src/cache.rs
+++ b/crates/dispatch/src/cache.rs
@@ -1,12 +1,12 @@
-//! What each engine keeps of prompts' shared parts, by its own reports.
+//! Cached prompt parts at each engine, from the engine's reports.
 //!
-//! An engine numbers the changes of its memory and tells them when it is asked. The answers come
-//! late, some changes are never told, and an engine that restarts has nothing and counts anew. So
-//! a [`Cache`] is what the engine last said, and what was sent there since and will be read before
-//! anything that is sent later, as engines read in order of arrival.
+//! An engine numbers the changes of its prefix cache and returns them on request. The answers are
+//! delayed, some changes are missing, and an engine that restarts has an empty cache and a new
+//! numbering. A [`Cache`] therefore combines the last reported content with the prompts sent since,
+//! which are prefilled before any later prompt because engines prefill in order of arrival.
 //!
-//! Invariants: nothing of an earlier start is believed; after a gap nothing is believed until the
-//! whole memory has been listed; what was not confirmed within [`STALE`] is not known.
+//! Invariants: content reported before a restart is discarded; after a gap the content is unknown
+//! until a complete listing; content that was not confirmed within [`STALE`] is unknown.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,89 +14,89 @@
 use crate::prefix::Prompt;
 use crate::target::Tag;
 
-/// Age at which reports are worth nothing: an engine replaces half of its memory in this time at
-/// full load (112 tokens a ms, 986,000 tokens).
+/// Age from which a report is ignored: at full load (112 tokens per millisecond) an engine
+/// replaces half of its memory (986,000 tokens) in this time.
 pub const STALE: Duration = Duration::from_secs(5);
 
-/// How long a prompt that was sent is taken to be read or about to be, without a report: waiting,
-/// reading and two reports take less than that.
-const EXPECTED: Duration = Duration::from_millis(1_500);
+/// How long the parts of a sent prompt count as cached without a report: queueing, prefill and two
+/// reports take less time.
+const SENT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Shortest time between two listings, as each delays the engine's work.
-const LISTING_PAUSE: Duration = Duration::from_secs(2);
+/// Shortest interval between two listings of one engine, as each delays the engine's work.
+const MIN_LISTING_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Short name of a part of a prompt, as read by one model.
+/// Hash of a prompt part under one model.
 pub type PartTag = u32;
 
-/// What is asked of an engine.
+/// A query to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Question {
-    /// Changes from a number on.
+    /// The changes from a sequence number on.
     Changes {
-        /// The number.
+        /// The sequence number.
         since: u64,
     },
-    /// All that it keeps.
+    /// The whole content of its cache.
     Listing,
 }
 
-/// How much of a part an engine keeps now.
+/// Cached tokens of one part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// The part.
     pub part: PartTag,
-    /// Tokens of it; 0 if it is gone.
+    /// Cached tokens; 0 if the part was evicted.
     pub tokens: u32,
 }
 
 /// An engine's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct News {
-    /// When the engine that answers started, if it says so.
+    /// Start time of the answering engine, in milliseconds of Unix time; none if not reported.
     pub born: Option<u64>,
-    /// Differs after a restart.
+    /// Epoch of the sequence numbers, which changes with each restart.
     pub epoch: u64,
-    /// Number from which to ask next.
+    /// Sequence number for the next query.
     pub next: u64,
-    /// Whether changes before these are no longer told.
+    /// Whether the answer lacks changes that preceded these.
     pub gap: bool,
-    /// The changes in their order, or all entries of a listing.
+    /// Changes in order, or all entries of a listing.
     pub entries: Vec<Entry>,
 }
 
-/// What an answer showed.
+/// State of the tracked content after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finding {
-    /// Nothing but changes.
+    /// The content is up to date.
     Current,
-    /// Changes are missing; the memory must be listed.
+    /// Changes are missing; a listing is required.
     Gap,
-    /// The engine has restarted.
+    /// The engine has restarted; the content is up to date.
     Restarted,
 }
 
-/// One engine's memory.
+/// Tracked content of one engine's cache.
 #[derive(Clone, Debug, Default)]
 struct Cache {
     epoch: Option<u64>,
     next: u64,
     entries: HashMap<PartTag, u32>,
-    /// Tokens of parts that were sent, and until when they are expected.
-    expected: HashMap<PartTag, (u32, Duration)>,
-    /// When it was known to be complete.
+    /// Tokens of parts that were sent, and until when they count as cached.
+    sent: HashMap<PartTag, (u32, Duration)>,
+    /// When the content was last known to be complete.
     as_of: Option<Duration>,
     gap: bool,
     listed_at: Option<Duration>,
 }
 
 impl Cache {
-    fn take(&mut self, question: Question, news: News, now: Duration) -> Finding {
+    fn apply(&mut self, question: Question, news: News, now: Duration) -> Finding {
         let restarted = self.epoch.is_some_and(|it| it != news.epoch);
         if restarted {
             self.entries.clear();
-            self.expected.clear();
+            self.sent.clear();
         }
-        let known = self.epoch == Some(news.epoch);
+        let same_epoch = self.epoch == Some(news.epoch);
         self.epoch = Some(news.epoch);
         self.next = news.next;
         match question {
@@ -105,12 +105,12 @@
                 self.gap = false;
             }
             Question::Changes { since } => {
-                let whole = known || since == 0;
-                self.gap |= news.gap || !whole;
+                let contiguous = same_epoch || since == 0;
+                self.gap |= news.gap || !contiguous;
             }
         }
         for entry in news.entries {
-            self.set(entry);
+            self.apply_entry(entry);
         }
         self.as_of = (!self.gap).then_some(now);
         match (self.gap, restarted) {
@@ -120,7 +120,7 @@
         }
     }
 
-    fn set(&mut self, entry: Entry) {
+    fn apply_entry(&mut self, entry: Entry) {
         if entry.tokens == 0 {
             self.entries.remove(&entry.part);
         } else {
@@ -128,103 +128,103 @@
         }
     }
 
-    fn known(&self, now: Duration) -> bool {
+    fn is_current(&self, now: Duration) -> bool {
         self.as_of.is_some_and(|it| now.saturating_sub(it) < STALE)
     }
 
-    fn told(&self, part: PartTag) -> u32 {
+    fn reported_tokens(&self, part: PartTag) -> u32 {
         self.entries.get(&part).copied().unwrap_or_default()
     }
 
-    fn tokens(&self, part: PartTag, now: Duration) -> u32 {
-        let expected = self.expected.get(&part);
-        let expected = expected.filter(|(_, until)| now < *until);
-        let expected = expected.map_or(0, |(tokens, _)| *tokens);
-        self.told(part).max(expected)
+    fn expected_tokens(&self, part: PartTag, now: Duration) -> u32 {
+        let sent = self.sent.get(&part);
+        let sent = sent.filter(|(_, until)| now < *until);
+        let sent = sent.map_or(0, |(tokens, _)| *tokens);
+        self.reported_tokens(part).max(sent)
     }
 }
 
-/// Tokens of a prompt's shared parts that an engine has: those of the first parts, as a part
-/// counts only if all before it are kept.
+/// Cached tokens of a prompt's shared parts at one engine. A part counts only if all parts before
+/// it are cached completely.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Held {
-    /// Tokens that it has said it keeps, so that another engine can fetch them.
+    /// Tokens that the engine has reported, which other engines can fetch.
     pub told: u64,
-    /// Tokens that it need not read for a prompt sent now.
+    /// Tokens that the engine does not have to prefill for a prompt sent now.
     pub expected: u64,
 }
 
-fn first_tokens(prompt: &Prompt, kept: impl Fn(PartTag) -> u32) -> u64 {
+fn leading_tokens(prompt: &Prompt, cached: impl Fn(PartTag) -> u32) -> u64 {
     let mut tokens = 0;
     for part in prompt.shared() {
-        let kept = u64::from(kept(part.id));
-        tokens += kept.min(part.tokens);
-        if kept < part.tokens {
+        let cached = u64::from(cached(part.id));
+        tokens += cached.min(part.tokens);
+        if cached < part.tokens {
             break;
         }
     }
     tokens
 }
 
-/// The memories of all engines that are asked.
+/// Tracked caches of all queried engines.
 #[derive(Clone, Debug, Default)]
 pub struct Caches {
     by_target: HashMap<Tag, Cache>,
 }
 
 impl Caches {
-    /// Nothing known yet.
+    /// Creates an empty table.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// What to ask an engine now.
+    /// The next query to an engine.
     #[must_use]
     pub fn question(&self, tag: Tag, now: Duration) -> Question {
         let Some(cache) = self.by_target.get(&tag) else {
             return Question::Listing;
         };
         let listed = cache.listed_at;
-        let may_list = listed.is_none_or(|it| now.saturating_sub(it) >= LISTING_PAUSE);
+        let may_list = listed.is_none_or(|it| now.saturating_sub(it) >= MIN_LISTING_INTERVAL);
         if cache.gap && may_list {
             return Question::Listing;
         }
         Question::Changes { since: cache.next }
     }
 
-    /// Takes an engine's answer.
+    /// Applies an engine's answer.
     pub fn take(&mut self, tag: Tag, question: Question, news: News, now: Duration) -> Finding {
         let cache = self.by_target.entry(tag).or_default();
         if question == Question::Listing {
             cache.listed_at = Some(now);
         }
-        cache.take(question, news, now)
+        cache.apply(question, news, now)
     }
 
-    /// A prompt is sent to an engine, which will keep its shared parts once it has read them.
+    /// Records that a prompt is sent to an engine, which caches its shared parts after prefill.
     pub fn sent(&mut self, tag: Tag, prompt: &Prompt, now: Duration) {
         let Some(cache) = self.by_target.get_mut(&tag) else {
             return;
         };
-        cache.expected.retain(|_, (_, until)| now < *until);
+        cache.sent.retain(|_, (_, until)| now < *until);
         for part in prompt.shared() {
             let tokens = u32::try_from(part.tokens).unwrap_or(u32::MAX);
-            cache.expected.insert(part.id, (tokens, now + EXPECTED));
+            cache.sent.insert(part.id, (tokens, now + SENT_TIMEOUT));
         }
     }
 
-    /// What an engine has of a prompt's shared parts. None if nothing certain is known.
+    /// Cached tokens of a prompt's shared parts at an engine; none if its content is unknown.
     #[must_use]
     pub fn held(&self, tag: Tag, prompt: &Prompt, now: Duration) -> Option<Held> {
-        let cache = self.by_target.get(&tag).filter(|it| it.known(now))?;
+        let cache = self.by_target.get(&tag).filter(|it| it.is_current(now))?;
         Some(Held {
-            told: first_tokens(prompt, |part| cache.told(part)),
-            expected: first_tokens(prompt, |part| cache.tokens(part, now)),
+            told: leading_tokens(prompt, |part| cache.reported_tokens(part)),
+            expected: leading_tokens(prompt, |part| cache.expected_tokens(part, now)),
         })
     }
 
-    /// Forgets a target that has ended.
+    /// Removes a target that has ended.
     pub fn forget(&mut self, tag: Tag) {
         self.by_target.remove(&tag);
     }
