--- a/crates/dispatch/src/cold.rs
+++ b/crates/dispatch/src/cold.rs
@@ -1,13 +1,14 @@
-//! Targets that are cold, and how many requests each of them may get.
+//! Rate limits for cold targets.
 //!
-//! A target that has just started, or was emptied, bears few requests a second and ends under many.
-//! Its entry says for how long it is cold, but the entry is seconds old when it is read, so a target
-//! of which that is not sure counts as cold too: one that could not be reached, or whose failure
-//! domain was just reopened, until a list that was read [`DOUBT`] later says that it is warm.
+//! A target that has just started, or was emptied, handles few requests per second and ends under
+//! more. Its registry entry gives the remaining time until it is warm, but entries are seconds old
+//! when they are read. A target whose state is uncertain, because it was unreachable or its failure
+//! domain was just reopened, therefore also counts as cold for [`DOUBT`]; lists read after that
+//! time show its state.
 //!
-//! The owner of a cell gives its cold targets places at the rate that they bear. Two routers may take
-//! themselves for the owner of one cell at once, so each of them has a *part* of the burst and of the
-//! rate as large as its side of the fleet, and none that is new begins with a burst.
+//! The owner of a cell grants requests at its cold targets at the rate that they sustain. Two
+//! routers may both regard themselves as the owner of a cell, so each uses a *share* of the rate
+//! and of the burst as large as its side of the fleet, and a new owner starts without a burst.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,28 +16,28 @@
 
 use crate::target::{Tag, Target};
 
-/// How long a target counts as cold after a sign that it may have started anew: entries are written
-/// every 1.2 s, lists show them 0.8 s later and are read within 1.95 s.
+/// How long a target counts as cold after a possible restart: entries are written every 1.2 s,
+/// appear in lists 0.8 s later, and lists are read within 1.95 s.
 pub const DOUBT: Duration = Duration::from_secs(4);
 
-/// Longest time between two looks at a target for which its rate accrues. An owner under load looks at
-/// all targets of its cell some hundred times a second; a router that did not look was not the owner,
-/// and what it may give was given by others: three owners that take turns of 100 ms gave 20 requests
-/// in a second otherwise, where 14 are borne.
-const ACCRUES: Duration = Duration::from_millis(100);
+/// Longest time between two refills of a bucket for which tokens accrue. An owner under load
+/// refills the buckets of its cell about a hundred times per second; after a longer gap the router
+/// was not the owner, and others used the rate. Without this limit, three owners that alternate
+/// every 100 ms sent 20 requests in one second where at most 14 are allowed.
+const MAX_REFILL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Rates that the targets of a service bear while they are cold.
+/// Request rates of a service's cold targets.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
-    /// Requests a second that a cold target is made for.
+    /// Sustained rate of a cold target, in requests per second.
     pub rate: f64,
-    /// Requests within one second that it must never get.
+    /// Largest number of requests that a cold target may get within one second.
     pub most: f64,
 }
 
 impl Bound {
-    /// Places that may be given at once. Two owners that don't know of each other then stay within
-    /// the bound together: each gives the rate, and one of them the burst.
+    /// Capacity of the bucket, in requests. Two owners unaware of each other stay within the bound
+    /// together: each sends at the sustained rate, and one of them the burst.
     fn burst(&self) -> f64 {
         (self.most - 2.0 * self.rate).max(1.0)
     }
@@ -44,32 +45,32 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    /// Places that may be given.
+    /// Requests that may be sent.
     tokens: f64,
-    at: Duration,
+    refilled_at: Duration,
 }
 
-/// What is known of cold targets.
+/// Cold targets and their token buckets.
 #[derive(Clone, Debug, Default)]
 pub struct Cold {
-    /// Until when targets are cold by their entries.
+    /// When targets become warm according to their entries.
     listed: HashMap<Tag, Duration>,
-    /// Until when it is not sure that targets are warm.
-    doubted: HashMap<Tag, Duration>,
+    /// Until when targets count as cold after a possible restart.
+    uncertain: HashMap<Tag, Duration>,
     buckets: HashMap<Tag, Bucket>,
 }
 
 impl Cold {
-    /// Takes what a list that was true at `as_of` says.
+    /// Applies a complete list of targets as of `as_of`.
     pub fn list<'a>(&mut self, targets: impl Iterator<Item = &'a Target>, as_of: Duration) {
         let cold = targets.filter(|it| !it.cold_left.is_zero());
         self.listed = cold.map(|it| (it.tag(), as_of + it.cold_left)).collect();
-        self.doubted.retain(|_, until| *until > as_of);
+        self.uncertain.retain(|_, until| *until > as_of);
         self.buckets
-            .retain(|tag, _| self.listed.contains_key(tag) || self.doubted.contains_key(tag));
+            .retain(|tag, _| self.listed.contains_key(tag) || self.uncertain.contains_key(tag));
     }
 
-    /// Takes what entries say that were written since such a list, up to `as_of`.
+    /// Applies entries that changed since the last list, as of `as_of`.
     pub fn renew(&mut self, written: &[Target], as_of: Duration) {
         for target in written {
             let tag = target.tag();
@@ -79,30 +80,29 @@
                 self.listed.insert(tag, as_of + target.cold_left);
             }
         }
-        self.doubted.retain(|_, until| *until > as_of);
+        self.uncertain.retain(|_, until| *until > as_of);
         self.buckets
-            .retain(|tag, _| self.listed.contains_key(tag) || self.doubted.contains_key(tag));
+            .retain(|tag, _| self.listed.contains_key(tag) || self.uncertain.contains_key(tag));
     }
 
-    /// A target may have started anew, or been emptied.
+    /// Records that a target may have restarted or been emptied.
     pub fn doubt(&mut self, tag: Tag, now: Duration) {
-        self.doubted.insert(tag, now + DOUBT);
+        self.uncertain.insert(tag, now + DOUBT);
     }
 
-    /// Whether a target is cold, or may be.
+    /// Whether a target is or may be cold.
     #[must_use]
     pub fn is_cold(&self, tag: Tag, now: Duration) -> bool {
         let until = |map: &HashMap<Tag, Duration>| map.get(&tag).is_some_and(|it| now < *it);
-        until(&self.listed) || until(&self.doubted)
+        until(&self.listed) || until(&self.uncertain)
     }
 
-    /// Whether a target may get one request more; `part` is the part of the rate that is this
-    /// router's, 0 to 1.
+    /// Whether a target may get another request; `part` is this router's share of the rate, 0 to 1.
     pub fn allows(&mut self, tag: Tag, bound: Bound, part: f64, now: Duration) -> bool {
         !self.is_cold(tag, now) || self.refill(tag, bound, part, now).tokens >= 1.0
     }
 
-    /// A target gets a request.
+    /// Records that a request is sent to a target.
     pub fn note(&mut self, tag: Tag, now: Duration) {
         if self.is_cold(tag, now)
             && let Some(bucket) = self.buckets.get_mut(&tag)
@@ -114,19 +114,22 @@
     fn refill(&mut self, tag: Tag, bound: Bound, part: f64, now: Duration) -> Bucket {
         let bucket = self.buckets.entry(tag).or_insert(Bucket {
             tokens: 0.0,
-            at: now,
+            refilled_at: now,
         });
-        let passed = now.saturating_sub(bucket.at).min(ACCRUES).as_secs_f64();
-        // One place at least may be saved up, or a small part would never come to one.
-        let most = (bound.burst() * part).max(1.0);
-        bucket.tokens = (bucket.tokens + passed * bound.rate * part).min(most);
-        bucket.at = now;
+        let elapsed = now
+            .saturating_sub(bucket.refilled_at)
+            .min(MAX_REFILL_INTERVAL)
+            .as_secs_f64();
+        // At least one token: with a smaller capacity, a small share would never allow a request.
+        let capacity = (bound.burst() * part).max(1.0);
+        bucket.tokens = (bucket.tokens + elapsed * bound.rate * part).min(capacity);
+        bucket.refilled_at = now;
         *bucket
     }
 }
 
-/// The part of a rate that is a router's which knows `known` routers, of `most` that it knew lately:
-/// both sides of a cut together then have the whole.
+/// A router's share of a rate, 0 to 1, if it knows `known` routers and recently knew `most`: the
+/// shares of both sides of a network partition add up to 1.
 #[must_use]
 pub fn part(known: usize, most: usize) -> f64 {
     #[expect(clippy::cast_precision_loss, reason = "a few hundred routers")]
@@ -134,33 +137,32 @@
     part.min(1.0)
 }
 
-/// Most routers that were known within the last [`Peak::KEPT`].
+/// Largest number of routers known at once within the last [`Peak::KEPT`].
 #[derive(Clone, Debug, Default)]
 pub struct Peak {
     counts: Vec<(Duration, usize)>,
 }
 
 impl Peak {
-    /// How long a router counts after it was lost: longer than cuts usually last, and than routers
-    /// take to start again.
+    /// How long a lost router counts: longer than most partitions last and routers take to restart.
     pub const KEPT: Duration = Duration::from_secs(20);
 
-    /// Notes how many are known.
+    /// Records the number of known routers.
     pub fn note(&mut self, known: usize, now: Duration) {
         self.counts
             .retain(|(at, count)| now.saturating_sub(*at) < Self::KEPT && *count > known);
         self.counts.push((now, known));
     }
 
-    /// The most that were known lately; 0 if none were noted.
+    /// The largest recent number; 0 if none was recorded.
     #[must_use]
     pub fn most(&self) -> usize {
         self.counts.first().map_or(0, |(_, count)| *count)
     }
 }
 
-/// Tags of the targets of a failure domain.
+/// Tags of the targets in a failure domain.
 pub fn of_domain<'a>(targets: impl Iterator<Item = &'a Arc<Target>>, domain: &str) -> Vec<Tag> {
-    let of = targets.filter(|it| it.domain.as_ref() == domain);
-    of.map(|it| it.tag()).collect()
+    let in_domain = targets.filter(|it| it.domain.as_ref() == domain);
+    in_domain.map(|it| it.tag()).collect()
 }
