--- a/crates/dispatch/src/usage.rs
+++ b/crates/dispatch/src/usage.rs
@@ -1,7 +1,7 @@
-//! Work at each target: this router's own and what its peers report.
+//! Load at each target: this router's own and that reported by its peers.
 //!
-//! A peer's part counts until the peer has been silent for [`PEER_TIMEOUT`]:
-//! a router that ended takes its requests with it.
+//! The load of a peer counts until there was neither a report from it nor a grant to it for
+//! [`PEER_TIMEOUT`]: the requests of a router end with its process.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,15 +10,15 @@
 
 use crate::target::Tag;
 
-/// A peer that has been silent for this long has no work any more.
+/// Time without a report from a peer or a grant to it after which its load is dropped.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Work at one target.
+/// Load at one target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests that were sent and have not ended.
+    /// Requests in progress.
     pub running: u32,
-    /// Prompt tokens of those that wait for their first token.
+    /// Prompt tokens to prefill for requests that have not had their first token.
     pub unread: u64,
 }
 
@@ -28,23 +28,23 @@
         self.unread += other.unread;
     }
 
-    fn take(&mut self, other: Self) {
+    fn subtract(&mut self, other: Self) {
         self.running = self.running.saturating_sub(other.running);
         self.unread = self.unread.saturating_sub(other.unread);
     }
 }
 
-/// Identity of a router's start, drawn at random.
+/// Random identity of one run of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Peer(pub u64);
 
 #[derive(Clone, Debug, Default)]
 struct Report {
-    at: Duration,
+    updated_at: Duration,
     loads: HashMap<Tag, Load>,
 }
 
-/// Work at all targets.
+/// Load at all targets.
 #[derive(Clone, Debug, Default)]
 pub struct Usage {
     own: HashMap<Tag, Load>,
@@ -53,20 +53,20 @@
 }
 
 impl Usage {
-    /// No work anywhere.
+    /// Creates a table without load.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A request was sent to a target, with prompt tokens to read.
+    /// Records that a request was sent to a target with `unread` prompt tokens to prefill.
     pub fn begin(&mut self, tag: Tag, unread: u64) {
         let load = Load { running: 1, unread };
         self.own.entry(tag).or_default().add(load);
         self.total.entry(tag).or_default().add(load);
     }
 
-    /// Its prompt has been read.
+    /// Records that a target has prefilled `unread` tokens of a request.
     pub fn read(&mut self, tag: Tag, unread: u64) {
         for map in [&mut self.own, &mut self.total] {
             if let Some(load) = map.get_mut(&tag) {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// It has ended.
+    /// Records that a request at a target has ended.
     pub fn end(&mut self, tag: Tag) {
         for map in [&mut self.own, &mut self.total] {
             if let Some(load) = map.get_mut(&tag) {
@@ -87,49 +87,56 @@
         }
     }
 
-    /// A place at a target was given to a peer.
+    /// Records that a peer was granted a request at a target.
     pub fn begin_for(&mut self, peer: Peer, tag: Tag, unread: u64, now: Duration) {
         let load = Load { running: 1, unread };
         let report = self.peers.entry(peer).or_default();
-        report.at = now;
+        report.updated_at = now;
         report.loads.entry(tag).or_default().add(load);
         self.total.entry(tag).or_default().add(load);
     }
 
-    /// A peer's prompt has been read.
+    /// Records that a target has prefilled `unread` tokens of a peer's request.
     pub fn read_for(&mut self, peer: Peer, tag: Tag, unread: u64) {
-        self.take_for(peer, tag, Load { running: 0, unread });
+        self.subtract_for(peer, tag, Load { running: 0, unread });
     }
 
-    /// A peer's request has ended.
+    /// Records that a peer's request has ended, of which `unread` tokens still counted as not
+    /// prefilled.
     pub fn end_for(&mut self, peer: Peer, tag: Tag, unread: u64) {
-        self.take_for(peer, tag, Load { running: 1, unread });
+        self.subtract_for(peer, tag, Load { running: 1, unread });
     }
 
-    /// Takes no more than the peer has, as its whole report may have come in between.
-    fn take_for(&mut self, peer: Peer, tag: Tag, load: Load) {
+    /// Subtracts at most the peer's current load, which a report may have replaced meanwhile.
+    fn subtract_for(&mut self, peer: Peer, tag: Tag, load: Load) {
         let report = self.peers.get_mut(&peer);
-        let Some(held) = report.and_then(|it| it.loads.get_mut(&tag)) else {
+        let Some(current) = report.and_then(|it| it.loads.get_mut(&tag)) else {
             return;
         };
-        let taken = Load {
-            running: held.running.min(load.running),
-            unread: held.unread.min(load.unread),
+        let removed = Load {
+            running: current.running.min(load.running),
+            unread: current.unread.min(load.unread),
         };
-        held.take(taken);
+        current.subtract(removed);
         if let Some(total) = self.total.get_mut(&tag) {
-            total.take(taken);
+            total.subtract(removed);
         }
     }
 
-    /// Takes a peer's report.
+    /// Replaces the load of a peer by its report.
     pub fn report(&mut self, peer: Peer, loads: impl Iterator<Item = (Tag, Load)>, now: Duration) {
         let loads: HashMap<Tag, Load> = loads.collect();
-        let before = self.peers.insert(peer, Report { at: now, loads });
-        let before = before.into_iter().flat_map(|it| it.loads);
-        for (tag, load) in before {
+        let previous = self.peers.insert(
+            peer,
+            Report {
+                updated_at: now,
+                loads,
+            },
+        );
+        let previous = previous.into_iter().flat_map(|it| it.loads);
+        for (tag, load) in previous {
             if let Some(total) = self.total.get_mut(&tag) {
-                total.take(load);
+                total.subtract(load);
             }
         }
         for (tag, load) in &self.peers[&peer].loads {
@@ -137,18 +144,19 @@
         }
     }
 
-    /// Drops peers that have been silent, if any, and adds up the others.
+    /// Drops peers whose load was not updated for [`PEER_TIMEOUT`], and recomputes the totals if
+    /// there were any.
     pub fn prune(&mut self, now: Duration) {
-        let silent = |it: &Report| now.saturating_sub(it.at) >= PEER_TIMEOUT;
-        if self.peers.values().any(silent) {
+        let expired = |it: &Report| now.saturating_sub(it.updated_at) >= PEER_TIMEOUT;
+        if self.peers.values().any(expired) {
             self.sum(now);
         }
     }
 
-    /// Drops peers that have been silent and adds up the others.
+    /// Drops peers whose load was not updated for [`PEER_TIMEOUT`], and recomputes the totals.
     pub fn sum(&mut self, now: Duration) {
         self.peers
-            .retain(|_, it| now.saturating_sub(it.at) < PEER_TIMEOUT);
+            .retain(|_, it| now.saturating_sub(it.updated_at) < PEER_TIMEOUT);
         self.total = self.own.clone();
         for report in self.peers.values() {
             for (tag, load) in &report.loads {
@@ -157,24 +165,24 @@
         }
     }
 
-    /// Work of all routers at a target.
+    /// Load of all routers at a target.
     #[must_use]
     pub fn total(&self, tag: Tag) -> Load {
         self.total.get(&tag).copied().unwrap_or_default()
     }
 
-    /// This router's own work at a target.
+    /// This router's own load at a target.
     #[must_use]
     pub fn own(&self, tag: Tag) -> Load {
         self.own.get(&tag).copied().unwrap_or_default()
     }
 
-    /// This router's own work everywhere.
+    /// This router's own load at all targets.
     pub fn all_own(&self) -> impl Iterator<Item = (Tag, Load)> {
         self.own.iter().map(|(tag, load)| (*tag, *load))
     }
 
-    /// Routers at work, this one included.
+    /// Number of routers with a recent update, including this one.
     #[must_use]
     pub fn routers(&self) -> usize {
         self.peers.len() + 1
