--- a/crates/dispatch/tests/cold.rs
+++ b/crates/dispatch/tests/cold.rs
@@ -1,18 +1,19 @@
-//! How many requests cold targets get, whoever owns their cell.
+//! Rate limits for cold targets under one or several owners of their cell.
 
 use std::time::Duration;
 
 use dunlinward_dispatch::cold::{self, Bound, Cold, DOUBT, Peak};
 use dunlinward_dispatch::target::{State, Tag, Target};
 
-/// The rates of the platform's sheet: 6.1 a second, and never more than 1.5 times that and 5 more.
+/// The limits of the platform: 6.1 requests per second sustained, and at most 1.5 times that plus 5
+/// within one second.
 const BOUND: Bound = Bound {
     rate: 6.1,
     most: 6.1 * 1.5 + 5.0,
 };
 
-/// Requests that come for one target, far more than it bears: one each 5 ms.
-const STEP: Duration = Duration::from_millis(5);
+/// Interval of requests for one target, which are far more than it sustains.
+const ARRIVAL_INTERVAL: Duration = Duration::from_millis(5);
 
 fn target(id: &str, cold_left: Duration) -> Target {
     Target {
@@ -37,89 +38,93 @@
     target("i-0", Duration::ZERO).tag()
 }
 
-/// Plays a load on owners that each give what they may; `owns` says which of them have a turn at a
-/// moment, and the part of the rate that is theirs. The times at which the target got a request.
-fn play(
+/// Simulates requests at owners that each send as many as they may. `active` returns the owners at
+/// a point in time with their shares of the rate. Returns the times at which the target got
+/// requests.
+fn simulate(
     owners: usize,
     time: Duration,
-    owns: impl Fn(Duration) -> Vec<(usize, f64)>,
+    active: impl Fn(Duration) -> Vec<(usize, f64)>,
 ) -> Vec<Duration> {
     let mut owners: Vec<_> = (0..owners).map(|_| cold_for(time * 2)).collect();
-    let mut given = Vec::new();
+    let mut sent = Vec::new();
     let mut now = Duration::ZERO;
     while now < time {
-        for (owner, part) in owns(now) {
+        for (owner, part) in active(now) {
             let cold = &mut owners[owner];
             if cold.allows(tag(), BOUND, part, now) {
                 cold.note(tag(), now);
-                given.push(now);
+                sent.push(now);
             }
         }
-        now += STEP;
+        now += ARRIVAL_INTERVAL;
     }
-    given
+    sent
 }
 
-/// Most requests within one second.
-fn densest(given: &[Duration]) -> usize {
+/// Largest number of requests within one second.
+fn max_per_second(sent: &[Duration]) -> usize {
     let within = |from: &Duration| {
         let end = *from + Duration::from_secs(1);
-        given.iter().filter(|it| (*from..end).contains(it)).count()
+        sent.iter().filter(|it| (*from..end).contains(it)).count()
     };
-    given.iter().map(within).max().unwrap_or_default()
+    sent.iter().map(within).max().unwrap_or_default()
 }
 
 #[expect(clippy::cast_precision_loss, reason = "a few dozen requests")]
-fn assert_borne(given: &[Duration], case: &str) {
-    let most = densest(given);
+fn assert_within_bound(sent: &[Duration], case: &str) {
+    let most = max_per_second(sent);
     assert!(most as f64 <= BOUND.most, "{case}: {most} in a second");
 }
 
 #[test]
-fn one_owner_gives_the_rate_that_a_cold_target_is_made_for() {
+fn single_owner_sends_at_the_sustained_rate() {
     let time = Duration::from_secs(10);
-    let given = play(1, time, |_| vec![(0, 1.0)]);
-    assert_borne(&given, "one owner");
-    // Room is used: within a tenth of 6.1 a second.
-    assert!((55..=64).contains(&given.len()), "{}", given.len());
+    let sent = simulate(1, time, |_| vec![(0, 1.0)]);
+    assert_within_bound(&sent, "one owner");
+    // The rate is used: within a tenth of 6.1 requests per second.
+    assert!((55..=64).contains(&sent.len()), "{}", sent.len());
 }
 
 #[test]
-fn two_routers_that_both_take_themselves_for_the_owner_stay_within_the_bound() {
-    let given = play(2, Duration::from_secs(10), |_| vec![(0, 1.0), (1, 1.0)]);
-    assert_borne(&given, "two owners");
+fn two_concurrent_owners_stay_within_the_bound() {
+    let sent = simulate(2, Duration::from_secs(10), |_| vec![(0, 1.0), (1, 1.0)]);
+    assert_within_bound(&sent, "two owners");
 }
 
 #[test]
-fn owners_that_follow_one_another_stay_within_the_bound() {
+fn alternating_owners_stay_within_the_bound() {
     for turn_ms in [100_u64, 300, 700, 1_000, 2_500] {
         let owns = |now: Duration| {
             let turn = now.as_millis() / u128::from(turn_ms);
             vec![(usize::try_from(turn % 3).unwrap(), 1.0)]
         };
-        let given = play(3, Duration::from_secs(10), owns);
-        assert_borne(&given, &format!("owners change each {turn_ms} ms"));
+        let sent = simulate(3, Duration::from_secs(10), owns);
+        assert_within_bound(&sent, &format!("owners alternate every {turn_ms} ms"));
     }
 }
 
 #[test]
-fn the_sides_of_a_cut_have_a_part_each() {
-    // Of 64 routers 43 are on one side, 21 on the other, as each side learns within a second; before
-    // that each still counts all.
-    for learn_ms in [0_u64, 500, 1_000] {
+fn sides_of_a_partition_share_the_rate() {
+    // Of 64 routers 43 are on one side of the partition and 21 on the other. Each side detects this
+    // within a second and counts all routers until then.
+    for detection_ms in [0_u64, 500, 1_000] {
         let owns = |now: Duration| {
-            let known = now >= Duration::from_millis(learn_ms);
+            let known = now >= Duration::from_millis(detection_ms);
             let sides = [43, 21].map(|side| cold::part(if known { side } else { 64 }, 64));
             vec![(0, sides[0]), (1, sides[1])]
         };
-        let given = play(2, Duration::from_secs(10), owns);
-        assert_borne(&given, &format!("a cut learnt after {learn_ms} ms"));
-        assert!(given.len() >= 50, "{}", given.len());
+        let sent = simulate(2, Duration::from_secs(10), owns);
+        assert_within_bound(
+            &sent,
+            &format!("a partition detected after {detection_ms} ms"),
+        );
+        assert!(sent.len() >= 50, "{}", sent.len());
     }
 }
 
 #[test]
-fn a_warm_target_is_not_held_back() {
+fn warm_target_is_not_limited() {
     let mut cold = cold_for(Duration::ZERO);
     for _ in 0..100 {
         assert!(cold.allows(tag(), BOUND, 1.0, Duration::ZERO));
@@ -128,7 +133,7 @@
 }
 
 #[test]
-fn a_target_is_cold_as_long_as_its_entry_says_and_again_whenever_one_says_so() {
+fn target_is_cold_for_the_time_in_its_entry_and_again_after_a_new_entry() {
     let second = Duration::from_secs(1);
     let mut cold = cold_for(second);
     assert!(cold.is_cold(tag(), second / 2));
@@ -141,18 +146,18 @@
 }
 
 #[test]
-fn a_target_that_may_have_started_anew_counts_as_cold_until_lists_can_tell() {
+fn target_that_may_have_restarted_is_cold_until_lists_show_its_state() {
     let mut cold = cold_for(Duration::ZERO);
     let now = Duration::from_secs(100);
     cold.doubt(tag(), now);
-    // A list that is read at once may have been written before.
+    // A list that is read shortly afterwards may have been written before the restart.
     cold.list([target("i-0", Duration::ZERO)].iter(), now + DOUBT / 2);
     assert!(cold.is_cold(tag(), now + DOUBT / 2));
     assert!(!cold.is_cold(tag(), now + DOUBT));
 }
 
 #[test]
-fn the_most_routers_known_lately_are_remembered_for_a_while() {
+fn peak_router_count_is_retained_for_the_window() {
     let mut peak = Peak::default();
     let second = Duration::from_secs(1);
     peak.note(64, second);
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! The pure decisions, one by one and against naive versions.
+//! Unit tests of the pure decisions, some against reference implementations.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn the_longest_prefix_that_begins_the_path_is_the_route() {
+fn longest_matching_path_prefix_selects_the_route() {
     let table = table();
     let name = |host, path| table.route(host, path).map(|it| it.name.to_string());
     assert_eq!(name("h", "/a/x").as_deref(), Some("/a/"));
@@ -95,14 +95,14 @@
 }
 
 #[test]
-fn services_of_a_route_get_their_weights() {
+fn services_of_a_route_get_requests_by_weight() {
     let route = route("/a/");
     let count = (0..1000).filter(|it| route.service(*it).is_some_and(|it| it.as_ref() == "y"));
     assert_eq!(count.count(), 100);
 }
 
 #[test]
-fn a_target_that_is_no_longer_listed_has_ended() {
+fn unlisted_target_has_ended() {
     let mut registry = Registry::new();
     registry.take(vec![target("a", 1), target("b", 2)], ms(0));
     let changes = registry.take(vec![target("a", 1)], ms(900));
@@ -110,10 +110,10 @@
     assert_eq!(registry.of("pool").len(), 1);
 }
 
-/// What a router has once heard of a leaving target binds it, whatever a disturbed store says
-/// afterwards.
+/// Once a target is known to be leaving, a later list from a faulty store must not make it ready
+/// again.
 #[test]
-fn a_target_that_leaves_never_counts_as_ready_again() {
+fn leaving_target_never_becomes_ready_again() {
     let mut registry = Registry::new();
     registry.take(vec![target("a", 1)], ms(0));
     let mut leaving = target("a", 1);
@@ -129,41 +129,41 @@
 }
 
 #[test]
-fn after_an_outage_a_lapsed_target_is_kept_until_it_could_be_back() {
+fn lapsed_target_is_retained_after_an_outage_for_the_return_time() {
     let mut registry = Registry::new();
     registry.take(vec![target("a", 1), target("b", 2)], ms(0));
-    let back = OUTAGE + ms(1);
-    registry.take(vec![target("a", 1)], back);
+    let reconnected_at = OUTAGE + ms(1);
+    registry.take(vec![target("a", 1)], reconnected_at);
     assert_eq!(registry.of("pool").len(), 2);
-    registry.take(vec![target("a", 1)], back + RETURN_TIME);
+    registry.take(vec![target("a", 1)], reconnected_at + RETURN_TIME);
     assert_eq!(registry.of("pool").len(), 1);
 }
 
-/// Fleet day fresh-cbbf: a failure domain that had been cut off came back and told all
-/// others of targets that had ended meanwhile.
+/// Guards against a failure domain that reconnects after a network partition and reports targets to
+/// all others that have ended meanwhile.
 #[test]
-fn what_a_router_keeps_after_its_own_outage_is_not_told_and_ends_by_a_settled_list() {
+fn target_retained_after_an_outage_is_not_reported_and_ends_with_a_settled_list() {
     let (mut cut, mut other) = (Registry::new(), Registry::new());
     for registry in [&mut cut, &mut other] {
         registry.take(vec![target("a", 1), target("b", 2)], ms(0));
     }
     other.take(vec![target("a", 1)], ms(1500));
     other.take(vec![target("a", 1)], ms(3000));
-    let back = OUTAGE + ms(1500);
-    cut.take(vec![target("a", 1)], back);
+    let reconnected_at = OUTAGE + ms(1500);
+    cut.take(vec![target("a", 1)], reconnected_at);
     assert_eq!((cut.of("pool").len(), cut.settled()), (2, false));
-    let told: Vec<_> = cut.listed().map(|it| it.as_ref().clone()).collect();
-    assert_eq!(told, [target("a", 1)]);
+    let reported: Vec<_> = cut.listed().map(|it| it.as_ref().clone()).collect();
+    assert_eq!(reported, [target("a", 1)]);
     assert_eq!(cut.digest(), other.digest());
-    assert!(other.take(told, back).is_empty());
+    assert!(other.take(reported, reconnected_at).is_empty());
     assert!(other.settled());
-    let ended = cut.take_settled(vec![target("a", 1)], back + ms(100));
+    let ended = cut.take_settled(vec![target("a", 1)], reconnected_at + ms(100));
     assert_eq!(ended, [Change::Ended(Arc::new(target("b", 2)))]);
     assert!(cut.settled());
 }
 
 #[test]
-fn the_first_list_of_a_router_settles_nothing() {
+fn first_list_is_not_settled() {
     let mut registry = Registry::new();
     assert!(!registry.settled());
     registry.take(vec![target("a", 1)], ms(500));
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_lapsed_target_whose_address_is_taken_has_ended() {
+fn lapsed_target_whose_address_is_reused_has_ended() {
     let mut registry = Registry::new();
     registry.take(vec![target("b", 2)], ms(0));
     registry.take(vec![target("c", 2)], OUTAGE + ms(1));
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn an_older_list_is_ignored_and_a_replaced_target_stays_away() {
+fn older_list_is_ignored_and_a_removed_target_is_not_listed_again() {
     let mut registry = Registry::new();
     registry.take(vec![target("a", 1)], ms(1000));
     assert!(registry.take(Vec::new(), ms(900)).is_empty());
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_leaving_target_is_told_once() {
+fn leaving_target_is_reported_once() {
     let mut registry = Registry::new();
     registry.take(vec![target("a", 1)], ms(0));
     let mut leaving = target("a", 1);
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn work_of_peers_counts_until_they_are_silent() {
+fn peer_load_counts_until_the_peer_timeout() {
     let (a, peer) = (Tag::new("a"), Peer(7));
     let mut usage = Usage::new();
     usage.begin(a, 100);
@@ -237,25 +237,26 @@
     assert_eq!(usage.total(a), Load::default());
 }
 
-/// Gives one unit at a time to whoever has least of what it asks.
-fn naive_level(demands: &[u64], capacity: u64) -> Option<u64> {
-    let mut given = vec![0; demands.len()];
+/// Reference implementation: grants one unit at a time to the customer with the smallest grant
+/// whose demand is not met.
+fn reference_level(demands: &[u64], capacity: u64) -> Option<u64> {
+    let mut granted = vec![0; demands.len()];
     for _ in 0..capacity {
-        let open = (0..demands.len()).filter(|it| given[*it] < demands[*it]);
-        let Some(least) = open.min_by_key(|it| given[*it]) else {
+        let unmet = (0..demands.len()).filter(|it| granted[*it] < demands[*it]);
+        let Some(smallest) = unmet.min_by_key(|it| granted[*it]) else {
             break;
         };
-        given[least] += 1;
+        granted[smallest] += 1;
     }
-    let unmet = (0..demands.len()).any(|it| given[it] < demands[it]);
-    unmet.then(|| {
-        let short = (0..demands.len()).filter(|it| given[*it] < demands[*it]);
-        short.map(|it| given[it]).min().unwrap_or_default()
+    let contended = (0..demands.len()).any(|it| granted[it] < demands[it]);
+    contended.then(|| {
+        let unmet = (0..demands.len()).filter(|it| granted[*it] < demands[*it]);
+        unmet.map(|it| granted[it]).min().unwrap_or_default()
     })
 }
 
 #[test]
-fn the_level_is_that_of_a_queue_that_serves_the_least_served() {
+fn level_matches_a_queue_that_serves_the_smallest_grant_first() {
     let mut random = Pcg64Mcg::seed_from_u64(11);
     for _ in 0..2000 {
         let count = random.random_range(1..8);
@@ -264,14 +265,14 @@
         let level = share::level(demands.clone(), capacity);
         assert_eq!(
             level,
-            naive_level(&demands, capacity),
+            reference_level(&demands, capacity),
             "{demands:?} {capacity}"
         );
     }
 }
 
 #[test]
-fn shares_hold_over_all_routers_once_more_is_asked_than_granted() {
+fn shares_apply_across_routers_once_demand_exceeds_grants() {
     let (small, large) = (CustomerTag(1), CustomerTag(2));
     let mut shares = Shares::new(ms(4000));
     shares.ask(small, 100, ms(0));
@@ -290,7 +291,7 @@
 }
 
 #[test]
-fn small_customers_that_get_all_are_not_told_and_the_level_stays_the_same() {
+fn small_fully_served_customers_are_not_reported_and_the_level_is_unchanged() {
     let mut shares = Shares::new(ms(4000));
     for number in 0..100 {
         shares.ask(CustomerTag(number), 10, ms(0));
@@ -300,12 +301,12 @@
         shares.ask(CustomerTag(number), asked, ms(0));
         shares.grant(CustomerTag(number), granted, ms(0));
     }
-    let told = shares.report(ms(0));
-    let mut tags: Vec<_> = told.iter().map(|it| it.tag.0).collect();
+    let reported = shares.report(ms(0));
+    let mut tags: Vec<_> = reported.iter().map(|it| it.tag.0).collect();
     tags.sort_unstable();
     assert_eq!(tags, [200, 201, 202]);
     let mut other = Shares::new(ms(4000));
-    other.hear(Peer(1), &told, ms(0));
+    other.hear(Peer(1), &reported, ms(0));
     let level = |shares: &mut Shares| {
         shares.cover(CustomerTag(200), 1, ms(0));
         shares.standing(CustomerTag(200), ms(0)).level
@@ -314,7 +315,7 @@
 }
 
 #[test]
-fn what_was_used_leaves_the_window() {
+fn usage_expires_with_the_window() {
     let customer = CustomerTag(1);
     let mut shares = Shares::new(ms(4000));
     shares.grant(customer, 100, ms(0));
@@ -322,8 +323,8 @@
     assert_eq!(shares.granted(customer, ms(4600)), 0);
 }
 
-/// Routers that are killed and count anew, and requests at random: in no window are there
-/// more repeats than the bound.
+/// Routers restart at random, which resets their counters, and requests arrive at random. No window
+/// may contain more repeats than the bound.
 #[test]
 fn repeats_of_all_routers_stay_within_the_bound_in_every_window() {
     let bound = Bound {
@@ -350,15 +351,16 @@
                 repeats.push(now);
             }
         }
-        let within = |all: &[Duration], from: Duration| {
-            all.iter()
+        let count_in_window = |times: &[Duration], from: Duration| {
+            times
+                .iter()
                 .filter(|it| **it >= from && **it < from + bound.window)
                 .count()
         };
         for from in (0..30_000).step_by(500).map(ms) {
-            let allowed = within(&requests, from) / 5 + 58;
+            let allowed = count_in_window(&requests, from) / 5 + 58;
             assert!(
-                within(&repeats, from) <= allowed,
+                count_in_window(&repeats, from) <= allowed,
                 "seed {seed}, from {from:?}"
             );
         }
@@ -366,7 +368,7 @@
 }
 
 #[test]
-fn a_target_is_left_alone_after_failures_in_a_row_and_longer_each_time() {
+fn target_is_ejected_after_consecutive_failures_for_increasing_periods() {
     let (a, mut health) = (Tag::new("a"), Health::new());
     assert!(!health.note(a, Outcome::Bad, ms(0)));
     assert!(!health.note(a, Outcome::Good, ms(0)));
@@ -387,7 +389,7 @@
 }
 
 #[test]
-fn a_target_that_fails_every_other_request_is_left_alone_and_one_in_ten_is_not() {
+fn target_is_ejected_at_one_failure_in_two_and_not_at_one_in_ten() {
     let (a, mut health) = (Tag::new("a"), Health::new());
     let mut ejected = false;
     for turn in 0..40 {
@@ -411,7 +413,7 @@
 }
 
 #[test]
-fn a_domain_is_doubtful_while_all_its_routers_are_silent() {
+fn domain_is_doubtful_while_none_of_its_routers_responds() {
     let mut reach = Reach::new(ms(100));
     let (a, b): (Arc<str>, Arc<str>) = ("a".into(), "b".into());
     assert!(!reach.doubtful("a", ms(0)));
@@ -444,7 +446,7 @@
 }
 
 #[test]
-fn the_last_part_of_a_prompt_is_its_own() {
+fn last_part_of_a_prompt_is_not_shared() {
     let prompt = prompt();
     assert_eq!((prompt.shared_tokens(), prompt.own_tokens()), (800, 200));
     assert_eq!(share::cost(&prompt), 1020);
@@ -456,19 +458,19 @@
 }
 
 #[test]
-fn a_prefix_is_kept_for_a_while_after_its_last_use_by_any_router() {
+fn prefix_counts_as_cached_until_its_retention_after_the_last_use_by_any_router() {
     let (prefix, tag) = (Prefix(5), Tag::new("a"));
     let mut memory = Memory::new();
     memory.note(prefix, tag, ms(0));
     assert_eq!(memory.recent(ms(300), ms(300)), [Use::new(prefix, tag)]);
     assert!(memory.recent(ms(300), ms(301)).is_empty());
     memory.hear(Use::new(prefix, tag), ms(9000));
-    let kept = prefix::kept(570_000, 57_000.0);
-    assert_eq!(kept, ms(10_000));
-    assert!(memory.keeps(prefix, tag, kept, ms(18_000)));
-    assert!(!memory.keeps(prefix, tag, kept, ms(19_000)));
+    let retention = prefix::kept(570_000, 57_000.0);
+    assert_eq!(retention, ms(10_000));
+    assert!(memory.keeps(prefix, tag, retention, ms(18_000)));
+    assert!(!memory.keeps(prefix, tag, retention, ms(19_000)));
     memory.forget(tag);
-    assert!(!memory.keeps(prefix, tag, kept, ms(9000)));
+    assert!(!memory.keeps(prefix, tag, retention, ms(9000)));
 }
 
 fn candidates(loads: &[(u32, u64)]) -> Vec<Candidate> {
@@ -502,39 +504,39 @@
 }
 
 #[test]
-fn a_prefix_that_none_keeps_goes_to_the_same_home_in_any_order() {
+fn uncached_prefix_has_the_same_home_in_any_candidate_order() {
     let (policy, prompt) = (Policy::default(), prompt());
     let mut all = candidates(&[(0, 0), (0, 0), (0, 0), (0, 0)]);
-    let home = placement::choose(&policy, &ask(Some(&prompt)), &all).unwrap();
-    assert!(!home.hit);
+    let first = placement::choose(&policy, &ask(Some(&prompt)), &all).unwrap();
+    assert!(!first.hit);
     all.reverse();
-    let again = placement::choose(&policy, &ask(Some(&prompt)), &all).unwrap();
-    assert_eq!(home.target.id, again.target.id);
-    assert_eq!(home.unread, 1000);
+    let second = placement::choose(&policy, &ask(Some(&prompt)), &all).unwrap();
+    assert_eq!(first.target.id, second.target.id);
+    assert_eq!(first.unread, 1000);
 }
 
 #[test]
-fn a_target_that_keeps_the_prefix_is_chosen_unless_it_is_full() {
+fn target_that_caches_the_prefix_is_selected_unless_it_is_full() {
     let (policy, prompt) = (Policy::default(), prompt());
     let mut all = candidates(&[(0, 0), (3, 900), (0, 0)]);
     all[1].keeps = true;
-    let kept = placement::choose(&policy, &ask(Some(&prompt)), &all).unwrap();
+    let cached = placement::choose(&policy, &ask(Some(&prompt)), &all).unwrap();
     assert_eq!(
-        (kept.target.id.as_ref(), kept.hit, kept.unread),
+        (cached.target.id.as_ref(), cached.hit, cached.unread),
         ("t1", true, 200)
     );
     all[1].load.running = 10;
     assert!(placement::choose(&policy, &ask(Some(&prompt)), &all).is_none());
-    let mut waited = ask(Some(&prompt));
-    waited.may_miss = true;
-    let missed = placement::choose(&policy, &waited, &all).unwrap();
+    let mut miss_allowed = ask(Some(&prompt));
+    miss_allowed.may_miss = true;
+    let missed = placement::choose(&policy, &miss_allowed, &all).unwrap();
     assert!(!missed.hit && missed.target.id.as_ref() != "t1");
 }
 
-/// Before, the first request of an idle fleet, and all after a restart of all routers, found a
-/// level of nothing and a tenth of the room.
+/// Guards against a level of zero, which limited the first request of an idle fleet, and all
+/// requests after a restart of all routers, to a tenth of the capacity.
 #[test]
-fn a_fleet_that_has_granted_nothing_yet_has_no_level() {
+fn fleet_without_grants_has_no_level() {
     let mut shares = Shares::new(ms(4_000));
     let customer = CustomerTag(1);
     shares.ask(customer, 1_000, ms(0));
@@ -546,7 +548,7 @@
 }
 
 #[test]
-fn a_request_beyond_its_share_finds_less_room() {
+fn request_beyond_its_share_gets_less_capacity() {
     let policy = Policy::default();
     let prompt = Prompt {
         tokens: 100,
@@ -561,7 +563,7 @@
 }
 
 #[test]
-fn plain_requests_go_where_most_is_free() {
+fn plain_request_goes_to_the_least_utilized_target() {
     let policy = Policy::default();
     let all = candidates(&[(5, 0), (2, 0), (9, 0)]);
     let choice = placement::choose(&policy, &ask(None), &all).unwrap();
@@ -571,7 +573,7 @@
 }
 
 #[test]
-fn a_peer_with_the_same_list_confirms_it_and_one_with_another_does_not() {
+fn only_a_peer_with_an_equal_list_confirms_it() {
     let mut registry = Registry::new();
     registry.take(vec![target("a", 1), target("b", 2)], ms(0));
     let mut other = Registry::new();
