--- a/crates/dispatch/tests/memory.rs
+++ b/crates/dispatch/tests/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! What engines tell of their memory, and how requests are placed by it.
+//! Tracking of engine caches, target selection by cached prefixes, and detection of caller retries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,7 +32,7 @@
     }
 }
 
-/// Two shared parts and one of its own.
+/// Two shared parts and one that is specific to the request.
 fn prompt() -> Prompt {
     let part = |id, tokens| Part { id, tokens };
     Prompt {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_part_counts_only_if_all_before_it_are_kept() {
+fn part_counts_only_if_all_parts_before_it_are_cached() {
     let (tag, mut caches) = (Tag::new("a"), Caches::new());
     assert_eq!(caches.held(tag, &prompt(), ms(0)), None);
     assert_eq!(caches.question(tag, ms(0)), Question::Listing);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn what_is_old_or_of_an_earlier_start_is_not_known() {
+fn content_that_is_stale_or_from_before_a_restart_is_unknown() {
     let (tag, mut caches) = (Tag::new("a"), Caches::new());
     let all = [entry(1, 300), entry(2, 500)];
     caches.take(tag, Question::Listing, news(7, 9, &all), ms(0));
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn after_a_gap_nothing_is_believed_until_all_is_listed_and_listings_are_rare() {
+fn content_is_unknown_after_a_gap_until_a_rate_limited_listing() {
     let (tag, mut caches) = (Tag::new("a"), Caches::new());
     let all = [entry(1, 300), entry(2, 500)];
     caches.take(tag, Question::Listing, news(7, 9, &all), ms(0));
@@ -120,9 +120,9 @@
     assert_eq!(caches.held(tag, &prompt(), ms(2_000)), Some(held(300, 300)));
 }
 
-/// What was sent is read before anything that is sent later, but can't be fetched yet.
+/// A sent prompt is prefilled before any later one, but cannot be fetched until it is reported.
 #[test]
-fn what_was_sent_is_expected_there_for_a_while_and_is_no_source() {
+fn sent_prompt_is_expected_until_a_timeout_and_cannot_be_fetched() {
     let (tag, mut caches) = (Tag::new("a"), Caches::new());
     caches.take(tag, SINCE_START, news(7, 0, &[]), ms(0));
     caches.sent(tag, &prompt(), ms(100));
@@ -134,31 +134,32 @@
     assert_eq!(caches.held(tag, &prompt(), ms(1_600)), None);
 }
 
-/// An engine that changes at random and tells late, in pieces and with gaps, against one that
-/// is asked for all: whenever something is known, it is what the engine had when it answered.
+/// Compares the tracked content with that of an engine whose cache changes at random and whose
+/// reports are delayed, partial and incomplete. Whenever the content is known, it must equal the
+/// engine's content at the time of its answer.
 #[test]
-fn a_followed_memory_is_that_of_a_naive_version_whenever_it_is_known() {
+fn tracked_content_matches_the_engine_whenever_it_is_known() {
     for seed in 0..40 {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let (tag, mut caches) = (Tag::new("a"), Caches::new());
-        let (mut epoch, mut kept) = (1, [0u32; 3]);
+        let (mut epoch, mut cached) = (1, [0u32; 3]);
         let mut log: Vec<Entry> = Vec::new();
-        let mut first_told = 0;
+        let mut oldest_available = 0;
         let mut known = 0;
         for step in 0..400 {
             let now = ms(step * 400);
             for _ in 0..random.random_range(0..4) {
                 let part = random.random_range(1..3u32);
                 let tokens = [0, 300, 500][random.random_range(0..3)];
-                kept[part as usize] = tokens;
+                cached[part as usize] = tokens;
                 log.push(entry(part, tokens));
             }
             if random.random_ratio(1, 40) {
-                (epoch, kept, first_told) = (epoch + 1, [0; 3], 0);
+                (epoch, cached, oldest_available) = (epoch + 1, [0; 3], 0);
                 log.clear();
             }
             if random.random_ratio(1, 20) {
-                first_told = log.len();
+                oldest_available = log.len();
             }
             if random.random_ratio(1, 10) {
                 continue;
@@ -166,24 +167,24 @@
             let question = caches.question(tag, now);
             let next = log.len() as u64;
             let answer = match question {
-                Question::Listing => news(epoch, next, &[entry(1, kept[1]), entry(2, kept[2])]),
+                Question::Listing => news(epoch, next, &[entry(1, cached[1]), entry(2, cached[2])]),
                 Question::Changes { since } => {
                     let since = usize::try_from(since).unwrap();
-                    let from = since.max(first_told).min(log.len());
-                    let mut told = news(epoch, next, &log[from..]);
-                    told.gap = since < first_told;
-                    told
+                    let from = since.max(oldest_available).min(log.len());
+                    let mut update = news(epoch, next, &log[from..]);
+                    update.gap = since < oldest_available;
+                    update
                 }
             };
             caches.take(tag, question, answer, now);
-            let naive = {
-                let first = u64::from(kept[1]).min(300);
-                let second = u64::from(kept[2]).min(500);
-                first + if kept[1] >= 300 { second } else { 0 }
+            let reference = {
+                let first = u64::from(cached[1]).min(300);
+                let second = u64::from(cached[2]).min(500);
+                first + if cached[1] >= 300 { second } else { 0 }
             };
             if let Some(held) = caches.held(tag, &prompt(), now) {
                 known += 1;
-                assert_eq!(held.told, naive, "seed {seed}, step {step}");
+                assert_eq!(held.told, reference, "seed {seed}, step {step}");
             }
         }
         assert!(known > 150, "seed {seed}: known {known} times");
@@ -191,7 +192,7 @@
 }
 
 #[test]
-fn parts_of_different_models_are_different() {
+fn part_tags_differ_between_models() {
     assert_ne!(prefix::part_tag("m", 1), prefix::part_tag("n", 1));
     assert_ne!(prefix::part_tag("m", 1), prefix::part_tag("m", 2));
     assert_eq!(prefix::part_tag("m", 1), prefix::part_tag("m", 1));
@@ -231,7 +232,7 @@
     }
 }
 
-/// What was chosen: the engine, what it reads, and from where it fetches.
+/// The selected engine, its prefill tokens, and the engine that it fetches from.
 fn chosen(ask: &Ask<'_>, candidates: &[Candidate]) -> (String, u64, Option<String>) {
     let choice = placement::choose(&Policy::default(), ask, candidates).unwrap();
     let fetch = choice.fetch.map(|it| it.id.to_string());
@@ -239,26 +240,27 @@
 }
 
 #[test]
-fn a_busy_engine_gives_its_prefix_to_an_idle_one() {
+fn idle_engine_fetches_the_prefix_from_a_busy_one() {
     let prompt = prompt();
     let idle = [candidate(0, 0, 0, 0), candidate(1, 100, 800, 800)];
     assert_eq!(
         chosen(&ask(&prompt), &idle),
         ("t1".into(), 200, None),
-        "a short queue is no reason to move memory"
+        "a short queue does not justify a fetch"
     );
     let busy = [candidate(0, 0, 0, 0), candidate(1, 9_000, 800, 800)];
     let (target, unread, fetch) = chosen(&ask(&prompt), &busy);
     assert_eq!((target.as_str(), fetch.as_deref()), ("t0", Some("t1")));
-    assert!(unread < 210, "a fetch is no reading: {unread}");
+    assert!(unread < 210, "a fetch does not count as prefill: {unread}");
     let mut slow = ask(&prompt);
     slow.fetch_seconds = None;
     assert_eq!(chosen(&slow, &busy), ("t0".into(), 1_000, None));
 }
 
-/// It waits for room where its prefix is, but what none keeps is read for it too.
+/// Such a request waits for capacity at the engine that caches its prefix, but a prefix that no
+/// engine caches is prefilled for it as well.
 #[test]
-fn no_memory_is_moved_for_who_is_beyond_its_share() {
+fn request_without_permission_to_fetch_does_not_fetch() {
     let prompt = prompt();
     let mut beyond = ask(&prompt);
     beyond.may_fetch = false;
@@ -267,12 +269,12 @@
     all[1].load.running = 10;
     assert!(placement::choose(&Policy::default(), &beyond, &all).is_none());
     assert!(placement::choose(&Policy::default(), &ask(&prompt), &all).is_some());
-    let cold = [candidate(0, 0, 0, 0), candidate(1, 100, 0, 0)];
-    assert_eq!(chosen(&beyond, &cold), ("t0".into(), 1_000, None));
+    let uncached = [candidate(0, 0, 0, 0), candidate(1, 100, 0, 0)];
+    assert_eq!(chosen(&beyond, &uncached), ("t0".into(), 1_000, None));
 }
 
 #[test]
-fn what_is_only_expected_is_not_fetched() {
+fn expected_but_unreported_tokens_are_not_fetched() {
     let prompt = prompt();
     let sent = [candidate(0, 0, 0, 0), candidate(1, 200, 0, 800)];
     assert_eq!(chosen(&ask(&prompt), &sent), ("t1".into(), 200, None));
@@ -281,16 +283,16 @@
 }
 
 #[test]
-fn a_few_tokens_are_read_and_not_fetched() {
+fn few_missing_tokens_are_prefilled_and_not_fetched() {
     let prompt = prompt();
     let nearly = [candidate(0, 0, 780, 780), candidate(1, 9_000, 800, 800)];
     assert_eq!(chosen(&ask(&prompt), &nearly), ("t0".into(), 220, None));
 }
 
-/// Callers give each first try 15 s; those that come back have what is left. The route's own
-/// limit is changed to 7 s on the way and back.
+/// Callers give each first try 15 s, and a later try the remaining time. The time limit of the
+/// route changes to 7 s and back in the meantime.
 #[test]
-fn later_tries_are_told_by_times_that_come_seldom_whatever_the_limit() {
+fn later_tries_are_detected_by_rare_deadlines_whatever_the_route_limit() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let (route, mut tries): (Arc<str>, _) = ("r".into(), Tries::new());
     let mut wrong = 0;
@@ -312,7 +314,7 @@
 }
 
 #[test]
-fn a_route_with_few_requests_or_two_kinds_of_callers_has_first_tries() {
+fn route_with_few_requests_or_two_kinds_of_callers_has_first_tries() {
     let (route, mut tries): (Arc<str>, _) = ("r".into(), Tries::new());
     assert!(!tries.later(&route, ms(14_980), ms(15_000)));
     assert!(tries.later(&route, ms(14_500), ms(15_000)));
@@ -327,10 +329,10 @@
     assert!(!tries.later(&route, ms(15_000), ms(15_000)));
 }
 
-/// Each caller has a time of its own, 8.5 to 10 s, and the route a limit of 10 s: with the limit as
-/// measure all of them were taken for later tries.
+/// Each caller has a deadline of its own, 8.5 to 10 s, and the route a limit of 10 s. Guards
+/// against detection by the route's limit, which counted all of these as later tries.
 #[test]
-fn first_tries_with_times_of_their_own_are_not_taken_for_later_ones() {
+fn first_tries_with_individual_deadlines_do_not_count_as_later_tries() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let (route, mut tries): (Arc<str>, _) = ("r".into(), Tries::new());
     let mut later = 0;
