--- a/crates/dispatch/src/prefix.rs
+++ b/crates/dispatch/src/prefix.rs
@@ -173,8 +173,8 @@
         self.recent.push_back((now, used));
     }
 
-    /// Records that a peer sent a prefix to a target; ignored while [`MAX_USES`] unexpired uses are
-    /// stored.
+    /// Records that a prefix was sent to a target, such as by a peer; ignored while [`MAX_USES`]
+    /// unexpired uses are stored.
     pub fn hear(&mut self, used: Use, now: Duration) {
         if self.uses.len() >= MAX_USES {
             self.uses
