--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -9,7 +9,7 @@
 //! - [`quarantine`], [`cuts`], [`copies`]: contents under which targets end.
 //! - [`target`], [`registry`]: the targets that are known, and which may get work.
 //! - [`store`], [`evacuation`]: what the platform's store says, and failure domains that get nothing.
-//! - [`cold`]: targets that bear few requests for now.
+//! - [`cold_start`]: targets that bear few requests for now.
 //! - [`leaving`], [`backoff`]: what targets say of themselves: that they end, that they want no more.
 //! - [`cell`], [`member`]: groups of targets, and the router that places requests there.
 //! - [`membership`]: which routers are alive.
@@ -30,7 +30,7 @@
 pub mod budget;
 pub mod cache;
 pub mod cell;
-pub mod cold;
+pub mod cold_start;
 pub mod configuration;
 pub mod content;
 pub mod copies;
--- a/crates/dispatch/tests/cold.rs
+++ b/crates/dispatch/tests/cold_start.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dunlinward_dispatch::cold::{self, Bound, Cold, DOUBT, Peak};
+use dunlinward_dispatch::cold_start::{self, Bound, Cold, DOUBT, Peak};
 use dunlinward_dispatch::target::{State, Tag, Target};
 
 /// The limits of the platform: 6.1 requests per second sustained, and at most 1.5 times that plus 5
@@ -111,7 +111,7 @@
     for detection_ms in [0_u64, 500, 1_000] {
         let owns = |now: Duration| {
             let known = now >= Duration::from_millis(detection_ms);
-            let sides = [43, 21].map(|side| cold::part(if known { side } else { 64 }, 64));
+            let sides = [43, 21].map(|side| cold_start::part(if known { side } else { 64 }, 64));
             vec![(0, sides[0]), (1, sides[1])]
         };
         let sent = simulate(2, Duration::from_secs(10), owns);
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -11,7 +11,7 @@
 use dunlinward_dispatch::budget::Budget;
 use dunlinward_dispatch::cache::Caches;
 use dunlinward_dispatch::cell::Cell;
-use dunlinward_dispatch::cold::{self, Cold, Peak};
+use dunlinward_dispatch::cold_start::{self, Cold, Peak};
 use dunlinward_dispatch::configuration::Table;
 use dunlinward_dispatch::content::ContentTag;
 use dunlinward_dispatch::copies::{Answered, Copies};
@@ -361,7 +361,7 @@
             let evacuation::Change::Reopened(domain) = change else {
                 continue;
             };
-            for tag in cold::of_domain(self.registry.all(), domain) {
+            for tag in cold_start::of_domain(self.registry.all(), domain) {
                 self.cold.doubt(tag, now);
             }
         }
--- a/crates/path/src/state/candidates.rs
+++ b/crates/path/src/state/candidates.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dunlinward_dispatch::cold;
+use dunlinward_dispatch::cold_start;
 use dunlinward_dispatch::placement::Candidate;
 use dunlinward_dispatch::prefix::Prompt;
 use dunlinward_dispatch::target::Target;
@@ -62,9 +62,9 @@
             return;
         };
         let most = settings.cold.excess * rate + settings.cold.slack;
-        let bound = cold::Bound { rate, most };
+        let bound = cold_start::Bound { rate, most };
         let known = self.members.count();
-        let part = cold::part(known, self.peak.most());
+        let part = cold_start::part(known, self.peak.most());
         let spared = wish.failed || wish.claim == Claim::Own || now < ALONE;
         candidates.retain(|it| {
             let tag = it.target.tag();
