--- a/crates/dispatch/src/cold_start.rs
+++ b/crates/dispatch/src/cold_start.rs
@@ -52,7 +52,7 @@
 
 /// Cold targets and their token buckets.
 #[derive(Clone, Debug, Default)]
-pub struct Cold {
+pub struct Limiter {
     /// When targets become warm according to their entries.
     listed: HashMap<Tag, Duration>,
     /// Until when targets count as cold after a possible restart.
@@ -60,7 +60,7 @@
     buckets: HashMap<Tag, Bucket>,
 }
 
-impl Cold {
+impl Limiter {
     /// Applies a complete list of targets as of `as_of`.
     pub fn list<'a>(&mut self, targets: impl Iterator<Item = &'a Target>, as_of: Duration) {
         let cold = targets.filter(|it| !it.cold_left.is_zero());
--- a/crates/dispatch/tests/cold_start.rs
+++ b/crates/dispatch/tests/cold_start.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dunlinward_dispatch::cold_start::{self, Bound, Cold, DOUBT, Peak};
+use dunlinward_dispatch::cold_start::{self, Bound, DOUBT, Limiter, Peak};
 use dunlinward_dispatch::target::{State, Tag, Target};
 
 /// The limits of the platform: 6.1 requests per second sustained, and at most 1.5 times that plus 5
@@ -28,10 +28,10 @@
     }
 }
 
-fn cold_for(time: Duration) -> Cold {
-    let mut cold = Cold::default();
-    cold.list([target("i-0", time)].iter(), Duration::ZERO);
-    cold
+fn limiter_for(time: Duration) -> Limiter {
+    let mut limiter = Limiter::default();
+    limiter.list([target("i-0", time)].iter(), Duration::ZERO);
+    limiter
 }
 
 fn tag() -> Tag {
@@ -46,14 +46,14 @@
     time: Duration,
     active: impl Fn(Duration) -> Vec<(usize, f64)>,
 ) -> Vec<Duration> {
-    let mut owners: Vec<_> = (0..owners).map(|_| cold_for(time * 2)).collect();
+    let mut owners: Vec<_> = (0..owners).map(|_| limiter_for(time * 2)).collect();
     let mut sent = Vec::new();
     let mut now = Duration::ZERO;
     while now < time {
         for (owner, part) in active(now) {
-            let cold = &mut owners[owner];
-            if cold.allows(tag(), BOUND, part, now) {
-                cold.note(tag(), now);
+            let limiter = &mut owners[owner];
+            if limiter.allows(tag(), BOUND, part, now) {
+                limiter.note(tag(), now);
                 sent.push(now);
             }
         }
@@ -125,35 +125,35 @@
 
 #[test]
 fn warm_target_is_not_limited() {
-    let mut cold = cold_for(Duration::ZERO);
+    let mut limiter = limiter_for(Duration::ZERO);
     for _ in 0..100 {
-        assert!(cold.allows(tag(), BOUND, 1.0, Duration::ZERO));
-        cold.note(tag(), Duration::ZERO);
+        assert!(limiter.allows(tag(), BOUND, 1.0, Duration::ZERO));
+        limiter.note(tag(), Duration::ZERO);
     }
 }
 
 #[test]
 fn target_is_cold_for_the_time_in_its_entry_and_again_after_a_new_entry() {
     let second = Duration::from_secs(1);
-    let mut cold = cold_for(second);
-    assert!(cold.is_cold(tag(), second / 2));
-    assert!(!cold.is_cold(tag(), second));
+    let mut limiter = limiter_for(second);
+    assert!(limiter.is_cold(tag(), second / 2));
+    assert!(!limiter.is_cold(tag(), second));
     let again = [target("i-0", 3 * second)];
-    cold.list(again.iter(), 60 * second);
-    assert!(cold.is_cold(tag(), 62 * second));
-    cold.list([target("i-0", Duration::ZERO)].iter(), 62 * second);
-    assert!(!cold.is_cold(tag(), 62 * second));
+    limiter.list(again.iter(), 60 * second);
+    assert!(limiter.is_cold(tag(), 62 * second));
+    limiter.list([target("i-0", Duration::ZERO)].iter(), 62 * second);
+    assert!(!limiter.is_cold(tag(), 62 * second));
 }
 
 #[test]
 fn target_that_may_have_restarted_is_cold_until_lists_show_its_state() {
-    let mut cold = cold_for(Duration::ZERO);
+    let mut limiter = limiter_for(Duration::ZERO);
     let now = Duration::from_secs(100);
-    cold.doubt(tag(), now);
+    limiter.doubt(tag(), now);
     // A list that is read shortly afterwards may have been written before the restart.
-    cold.list([target("i-0", Duration::ZERO)].iter(), now + DOUBT / 2);
-    assert!(cold.is_cold(tag(), now + DOUBT / 2));
-    assert!(!cold.is_cold(tag(), now + DOUBT));
+    limiter.list([target("i-0", Duration::ZERO)].iter(), now + DOUBT / 2);
+    assert!(limiter.is_cold(tag(), now + DOUBT / 2));
+    assert!(!limiter.is_cold(tag(), now + DOUBT));
 }
 
 #[test]
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -11,7 +11,7 @@
 use dunlinward_dispatch::budget::Budget;
 use dunlinward_dispatch::cache::Caches;
 use dunlinward_dispatch::cell::Cell;
-use dunlinward_dispatch::cold_start::{self, Cold, Peak};
+use dunlinward_dispatch::cold_start::{self, Limiter, Peak};
 use dunlinward_dispatch::configuration::Table;
 use dunlinward_dispatch::content::ContentTag;
 use dunlinward_dispatch::copies::{Answered, Copies};
@@ -115,7 +115,7 @@
     /// Failure domains whose targets get nothing.
     pub(crate) evacuations: Evacuations,
     /// Targets that bear few requests for now.
-    pub(crate) cold: Cold,
+    pub(crate) cold: Limiter,
     /// Routers that were known lately.
     peak: Peak,
     /// Readings of the list of targets.
@@ -181,7 +181,7 @@
             compared: false,
             store: Era::default(),
             evacuations: Evacuations::default(),
-            cold: Cold::default(),
+            cold: Limiter::default(),
             peak: Peak::default(),
             registry: Registry::new()
                 .with_cell_targets(settings.cell_targets)
