--- a/crates/dispatch/src/cold_start.rs
+++ b/crates/dispatch/src/cold_start.rs
@@ -62,7 +62,7 @@
 
 impl Limiter {
     /// Applies a complete list of targets as of `as_of`.
-    pub fn list<'a>(&mut self, targets: impl Iterator<Item = &'a Target>, as_of: Duration) {
+    pub fn apply_list<'a>(&mut self, targets: impl Iterator<Item = &'a Target>, as_of: Duration) {
         let cold = targets.filter(|it| !it.cold_left.is_zero());
         self.listed = cold.map(|it| (it.tag(), as_of + it.cold_left)).collect();
         self.uncertain.retain(|_, until| *until > as_of);
--- a/crates/dispatch/tests/cold_start.rs
+++ b/crates/dispatch/tests/cold_start.rs
@@ -30,7 +30,7 @@
 
 fn limiter_for(time: Duration) -> Limiter {
     let mut limiter = Limiter::default();
-    limiter.list([target("i-0", time)].iter(), Duration::ZERO);
+    limiter.apply_list([target("i-0", time)].iter(), Duration::ZERO);
     limiter
 }
 
@@ -139,9 +139,9 @@
     assert!(limiter.is_cold(tag(), second / 2));
     assert!(!limiter.is_cold(tag(), second));
     let again = [target("i-0", 3 * second)];
-    limiter.list(again.iter(), 60 * second);
+    limiter.apply_list(again.iter(), 60 * second);
     assert!(limiter.is_cold(tag(), 62 * second));
-    limiter.list([target("i-0", Duration::ZERO)].iter(), 62 * second);
+    limiter.apply_list([target("i-0", Duration::ZERO)].iter(), 62 * second);
     assert!(!limiter.is_cold(tag(), 62 * second));
 }
 
@@ -151,7 +151,7 @@
     let now = Duration::from_secs(100);
     limiter.doubt(tag(), now);
     // A list that is read shortly afterwards may have been written before the restart.
-    limiter.list([target("i-0", Duration::ZERO)].iter(), now + DOUBT / 2);
+    limiter.apply_list([target("i-0", Duration::ZERO)].iter(), now + DOUBT / 2);
     assert!(limiter.is_cold(tag(), now + DOUBT / 2));
     assert!(!limiter.is_cold(tag(), now + DOUBT));
 }
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -301,7 +301,7 @@
         if self.registry.read_at() == Some(list.as_of) {
             self.registry_position = list.position;
             let listed = self.registry.listed().map(AsRef::as_ref);
-            self.cold.list(listed, list.as_of);
+            self.cold.apply_list(listed, list.as_of);
         }
         changes
     }
