--- a/crates/dispatch/src/cold_start.rs
+++ b/crates/dispatch/src/cold_start.rs
@@ -71,7 +71,7 @@
     }
 
     /// Applies entries that changed since the last list, as of `as_of`.
-    pub fn renew(&mut self, written: &[Target], as_of: Duration) {
+    pub fn apply_changes(&mut self, written: &[Target], as_of: Duration) {
         for target in written {
             let tag = target.tag();
             if target.cold_left.is_zero() {
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -322,7 +322,7 @@
         self.registry_position = Some(end);
         let written = delta.written.clone();
         let changes = self.registry.take_delta(delta, as_of);
-        self.cold.renew(&written, as_of);
+        self.cold.apply_changes(&written, as_of);
         Some(changes)
     }
 
@@ -336,7 +336,7 @@
         self.registry_position = told.position;
         let written = told.delta.written.clone();
         let changes = self.registry.take_told(told.delta, told.settled, as_of);
-        self.cold.renew(&written, as_of);
+        self.cold.apply_changes(&written, as_of);
         changes
     }
 
