--- a/crates/dispatch/src/cold_start.rs
+++ b/crates/dispatch/src/cold_start.rs
@@ -86,7 +86,7 @@
     }
 
     /// Records that a target may have restarted or been emptied.
-    pub fn doubt(&mut self, tag: Tag, now: Duration) {
+    pub fn mark_uncertain(&mut self, tag: Tag, now: Duration) {
         self.uncertain.insert(tag, now + DOUBT);
     }
 
--- a/crates/dispatch/tests/cold_start.rs
+++ b/crates/dispatch/tests/cold_start.rs
@@ -149,7 +149,7 @@
 fn target_that_may_have_restarted_is_cold_until_lists_show_its_state() {
     let mut limiter = limiter_for(Duration::ZERO);
     let now = Duration::from_secs(100);
-    limiter.doubt(tag(), now);
+    limiter.mark_uncertain(tag(), now);
     // A list that is read shortly afterwards may have been written before the restart.
     limiter.apply_list([target("i-0", Duration::ZERO)].iter(), now + DOUBT / 2);
     assert!(limiter.is_cold(tag(), now + DOUBT / 2));
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -136,7 +136,7 @@
         };
         let now = self.now();
         if lost {
-            self.state.borrow_mut().cold.doubt(tag, now);
+            self.state.borrow_mut().cold.mark_uncertain(tag, now);
         }
         let target = self.state.borrow().registry.get(tag).cloned();
         let Some(target) = target else {
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -362,7 +362,7 @@
                 continue;
             };
             for tag in cold_start::of_domain(self.registry.all(), domain) {
-                self.cold.doubt(tag, now);
+                self.cold.mark_uncertain(tag, now);
             }
         }
         changes
@@ -397,7 +397,7 @@
     /// Who could not be reached may have started anew.
     fn doubt_cold(&mut self, target: &Target, outcome: Outcome, now: Duration) {
         if outcome == Outcome::Unreachable {
-            self.cold.doubt(target.tag(), now);
+            self.cold.mark_uncertain(target.tag(), now);
         }
     }
 
