--- a/crates/dispatch/src/cold_start.rs
+++ b/crates/dispatch/src/cold_start.rs
@@ -103,7 +103,7 @@
     }
 
     /// Records that a request is sent to a target.
-    pub fn note(&mut self, tag: Tag, now: Duration) {
+    pub fn record_request(&mut self, tag: Tag, now: Duration) {
         if self.is_cold(tag, now)
             && let Some(bucket) = self.buckets.get_mut(&tag)
         {
--- a/crates/dispatch/tests/cold_start.rs
+++ b/crates/dispatch/tests/cold_start.rs
@@ -53,7 +53,7 @@
         for (owner, part) in active(now) {
             let limiter = &mut owners[owner];
             if limiter.allows(tag(), BOUND, part, now) {
-                limiter.note(tag(), now);
+                limiter.record_request(tag(), now);
                 sent.push(now);
             }
         }
@@ -128,7 +128,7 @@
     let mut limiter = limiter_for(Duration::ZERO);
     for _ in 0..100 {
         assert!(limiter.allows(tag(), BOUND, 1.0, Duration::ZERO));
-        limiter.note(tag(), Duration::ZERO);
+        limiter.record_request(tag(), Duration::ZERO);
     }
 }
 
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -194,7 +194,7 @@
     ) -> Place {
         let tag = choice.target.tag();
         self.usage.begin(tag, choice.unread);
-        self.cold.note(tag, now);
+        self.cold.record_request(tag, now);
         self.backoffs.note_sent(tag, now);
         if let Some(prompt) = wish.prompt.as_deref() {
             self.caches.sent(tag, prompt, now);
@@ -230,7 +230,7 @@
         let Asker { peer, number, .. } = asker;
         let tag = choice.target.tag();
         self.usage.begin_for(peer, tag, choice.unread, now);
-        self.cold.note(tag, now);
+        self.cold.record_request(tag, now);
         self.backoffs.note_sent(tag, now);
         if let Some(prompt) = wish.prompt.as_deref() {
             self.caches.sent(tag, prompt, now);
