--- a/crates/dispatch/src/cold_start.rs
+++ b/crates/dispatch/src/cold_start.rs
@@ -3,8 +3,8 @@
 //! A target that has just started, or was emptied, handles few requests per second and ends under
 //! more. Its registry entry gives the remaining time until it is warm, but entries are seconds old
 //! when they are read. A target whose state is uncertain, because it was unreachable or its failure
-//! domain was just reopened, therefore also counts as cold for [`DOUBT`]; lists read after that
-//! time show its state.
+//! domain was just reopened, therefore also counts as cold for [`UNCERTAIN_PERIOD`]; lists read
+//! after that time show its state.
 //!
 //! The owner of a cell grants requests at its cold targets at the rate that they sustain. Two
 //! routers may both regard themselves as the owner of a cell, so each uses a *share* of the rate
@@ -18,7 +18,7 @@
 
 /// How long a target counts as cold after a possible restart: entries are written every 1.2 s,
 /// appear in lists 0.8 s later, and lists are read within 1.95 s.
-pub const DOUBT: Duration = Duration::from_secs(4);
+pub const UNCERTAIN_PERIOD: Duration = Duration::from_secs(4);
 
 /// Longest time between two refills of a bucket for which tokens accrue. An owner under load
 /// refills the buckets of its cell about a hundred times per second; after a longer gap the router
@@ -87,7 +87,7 @@
 
     /// Records that a target may have restarted or been emptied.
     pub fn mark_uncertain(&mut self, tag: Tag, now: Duration) {
-        self.uncertain.insert(tag, now + DOUBT);
+        self.uncertain.insert(tag, now + UNCERTAIN_PERIOD);
     }
 
     /// Whether a target is or may be cold.
--- a/crates/dispatch/tests/cold_start.rs
+++ b/crates/dispatch/tests/cold_start.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dunlinward_dispatch::cold_start::{self, Bound, DOUBT, Limiter, Peak};
+use dunlinward_dispatch::cold_start::{self, Bound, Limiter, Peak, UNCERTAIN_PERIOD};
 use dunlinward_dispatch::target::{State, Tag, Target};
 
 /// The limits of the platform: 6.1 requests per second sustained, and at most 1.5 times that plus 5
@@ -151,9 +151,12 @@
     let now = Duration::from_secs(100);
     limiter.mark_uncertain(tag(), now);
     // A list that is read shortly afterwards may have been written before the restart.
-    limiter.apply_list([target("i-0", Duration::ZERO)].iter(), now + DOUBT / 2);
-    assert!(limiter.is_cold(tag(), now + DOUBT / 2));
-    assert!(!limiter.is_cold(tag(), now + DOUBT));
+    limiter.apply_list(
+        [target("i-0", Duration::ZERO)].iter(),
+        now + UNCERTAIN_PERIOD / 2,
+    );
+    assert!(limiter.is_cold(tag(), now + UNCERTAIN_PERIOD / 2));
+    assert!(!limiter.is_cold(tag(), now + UNCERTAIN_PERIOD));
 }
 
 #[test]
