--- a/crates/dispatch/src/cold_start.rs
+++ b/crates/dispatch/src/cold_start.rs
@@ -32,14 +32,14 @@
     /// Sustained rate of a cold target, in requests per second.
     pub rate: f64,
     /// Largest number of requests that a cold target may get within one second.
-    pub most: f64,
+    pub max_per_second: f64,
 }
 
 impl Bound {
     /// Capacity of the bucket, in requests. Two owners unaware of each other stay within the bound
     /// together: each sends at the sustained rate, and one of them the burst.
     fn burst(&self) -> f64 {
-        (self.most - 2.0 * self.rate).max(1.0)
+        (self.max_per_second - 2.0 * self.rate).max(1.0)
     }
 }
 
--- a/crates/dispatch/tests/cold_start.rs
+++ b/crates/dispatch/tests/cold_start.rs
@@ -9,7 +9,7 @@
 /// within one second.
 const BOUND: Bound = Bound {
     rate: 6.1,
-    most: 6.1 * 1.5 + 5.0,
+    max_per_second: 6.1 * 1.5 + 5.0,
 };
 
 /// Interval of requests for one target, which are far more than it sustains.
@@ -74,7 +74,10 @@
 #[expect(clippy::cast_precision_loss, reason = "a few dozen requests")]
 fn assert_within_bound(sent: &[Duration], case: &str) {
     let most = max_per_second(sent);
-    assert!(most as f64 <= BOUND.most, "{case}: {most} in a second");
+    assert!(
+        most as f64 <= BOUND.max_per_second,
+        "{case}: {most} in a second"
+    );
 }
 
 #[test]
--- a/crates/path/src/state/candidates.rs
+++ b/crates/path/src/state/candidates.rs
@@ -61,8 +61,11 @@
         let Some(rate) = rate else {
             return;
         };
-        let most = settings.cold.excess * rate + settings.cold.slack;
-        let bound = cold_start::Bound { rate, most };
+        let max_per_second = settings.cold.excess * rate + settings.cold.slack;
+        let bound = cold_start::Bound {
+            rate,
+            max_per_second,
+        };
         let known = self.members.count();
         let part = cold_start::part(known, self.peak.most());
         let spared = wish.failed || wish.claim == Claim::Own || now < ALONE;
