--- a/crates/dispatch/src/cold_start.rs
+++ b/crates/dispatch/src/cold_start.rs
@@ -97,9 +97,10 @@
         until(&self.listed) || until(&self.uncertain)
     }
 
-    /// Whether a target may get another request; `part` is this router's share of the rate, 0 to 1.
-    pub fn allows(&mut self, tag: Tag, bound: Bound, part: f64, now: Duration) -> bool {
-        !self.is_cold(tag, now) || self.refill(tag, bound, part, now).tokens >= 1.0
+    /// Whether a target may get another request; `share` is this router's share of the
+    /// rate, 0 to 1.
+    pub fn allows(&mut self, tag: Tag, bound: Bound, share: f64, now: Duration) -> bool {
+        !self.is_cold(tag, now) || self.refill(tag, bound, share, now).tokens >= 1.0
     }
 
     /// Records that a request is sent to a target.
@@ -111,7 +112,7 @@
         }
     }
 
-    fn refill(&mut self, tag: Tag, bound: Bound, part: f64, now: Duration) -> Bucket {
+    fn refill(&mut self, tag: Tag, bound: Bound, share: f64, now: Duration) -> Bucket {
         let bucket = self.buckets.entry(tag).or_insert(Bucket {
             tokens: 0.0,
             refilled_at: now,
@@ -121,8 +122,8 @@
             .min(MAX_REFILL_INTERVAL)
             .as_secs_f64();
         // At least one token: with a smaller capacity, a small share would never allow a request.
-        let capacity = (bound.burst() * part).max(1.0);
-        bucket.tokens = (bucket.tokens + elapsed * bound.rate * part).min(capacity);
+        let capacity = (bound.burst() * share).max(1.0);
+        bucket.tokens = (bucket.tokens + elapsed * bound.rate * share).min(capacity);
         bucket.refilled_at = now;
         *bucket
     }
@@ -131,10 +132,10 @@
 /// A router's share of a rate, 0 to 1, if it knows `known` routers and recently knew `most`: the
 /// shares of both sides of a network partition add up to 1.
 #[must_use]
-pub fn part(known: usize, most: usize) -> f64 {
+pub fn rate_share(known: usize, most: usize) -> f64 {
     #[expect(clippy::cast_precision_loss, reason = "a few hundred routers")]
-    let part = known as f64 / most.max(1) as f64;
-    part.min(1.0)
+    let share = known as f64 / most.max(1) as f64;
+    share.min(1.0)
 }
 
 /// Largest number of routers known at once within the last [`Peak::KEPT`].
--- a/crates/dispatch/tests/cold_start.rs
+++ b/crates/dispatch/tests/cold_start.rs
@@ -50,9 +50,9 @@
     let mut sent = Vec::new();
     let mut now = Duration::ZERO;
     while now < time {
-        for (owner, part) in active(now) {
+        for (owner, share) in active(now) {
             let limiter = &mut owners[owner];
-            if limiter.allows(tag(), BOUND, part, now) {
+            if limiter.allows(tag(), BOUND, share, now) {
                 limiter.record_request(tag(), now);
                 sent.push(now);
             }
@@ -114,7 +114,8 @@
     for detection_ms in [0_u64, 500, 1_000] {
         let owns = |now: Duration| {
             let known = now >= Duration::from_millis(detection_ms);
-            let sides = [43, 21].map(|side| cold_start::part(if known { side } else { 64 }, 64));
+            let sides =
+                [43, 21].map(|side| cold_start::rate_share(if known { side } else { 64 }, 64));
             vec![(0, sides[0]), (1, sides[1])]
         };
         let sent = simulate(2, Duration::from_secs(10), owns);
