--- a/crates/dispatch/src/cold_start.rs
+++ b/crates/dispatch/src/cold_start.rs
@@ -138,7 +138,7 @@
     share.min(1.0)
 }
 
-/// Largest number of routers known at once within the last [`Peak::KEPT`].
+/// Largest number of routers known at once within the last [`Peak::WINDOW`].
 #[derive(Clone, Debug, Default)]
 pub struct Peak {
     counts: Vec<(Duration, usize)>,
@@ -146,12 +146,12 @@
 
 impl Peak {
     /// How long a lost router counts: longer than most partitions last and routers take to restart.
-    pub const KEPT: Duration = Duration::from_secs(20);
+    pub const WINDOW: Duration = Duration::from_secs(20);
 
     /// Records the number of known routers.
     pub fn note(&mut self, known: usize, now: Duration) {
         self.counts
-            .retain(|(at, count)| now.saturating_sub(*at) < Self::KEPT && *count > known);
+            .retain(|(at, count)| now.saturating_sub(*at) < Self::WINDOW && *count > known);
         self.counts.push((now, known));
     }
 
--- a/crates/dispatch/tests/cold_start.rs
+++ b/crates/dispatch/tests/cold_start.rs
@@ -171,7 +171,7 @@
     peak.note(40, 2 * second);
     peak.note(43, 3 * second);
     assert_eq!(peak.most(), 64);
-    peak.note(43, second + Peak::KEPT);
+    peak.note(43, second + Peak::WINDOW);
     assert_eq!(peak.most(), 43);
     peak.note(70, 30 * second);
     assert_eq!(peak.most(), 70);
