--- a/crates/dispatch/src/cold_start.rs
+++ b/crates/dispatch/src/cold_start.rs
@@ -149,7 +149,7 @@
     pub const WINDOW: Duration = Duration::from_secs(20);
 
     /// Records the number of known routers.
-    pub fn note(&mut self, known: usize, now: Duration) {
+    pub fn record(&mut self, known: usize, now: Duration) {
         self.counts
             .retain(|(at, count)| now.saturating_sub(*at) < Self::WINDOW && *count > known);
         self.counts.push((now, known));
--- a/crates/dispatch/tests/cold_start.rs
+++ b/crates/dispatch/tests/cold_start.rs
@@ -167,12 +167,12 @@
 fn peak_router_count_is_retained_for_the_window() {
     let mut peak = Peak::default();
     let second = Duration::from_secs(1);
-    peak.note(64, second);
-    peak.note(40, 2 * second);
-    peak.note(43, 3 * second);
+    peak.record(64, second);
+    peak.record(40, 2 * second);
+    peak.record(43, 3 * second);
     assert_eq!(peak.most(), 64);
-    peak.note(43, second + Peak::WINDOW);
+    peak.record(43, second + Peak::WINDOW);
     assert_eq!(peak.most(), 43);
-    peak.note(70, 30 * second);
+    peak.record(70, 30 * second);
     assert_eq!(peak.most(), 70);
 }
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -221,7 +221,7 @@
     pub(crate) fn prune(&mut self, now: Duration) -> Vec<Arc<Target>> {
         self.usage.prune(now);
         self.quarantine.prune(now);
-        self.peak.note(self.members.count(), now);
+        self.peak.record(self.members.count(), now);
         self.copies.prune(now);
         self.returns.prune(now);
         self.lapse(now);
