--- a/crates/dispatch/src/cold_start.rs
+++ b/crates/dispatch/src/cold_start.rs
@@ -157,7 +157,7 @@
 
     /// The largest recent number; 0 if none was recorded.
     #[must_use]
-    pub fn most(&self) -> usize {
+    pub fn max(&self) -> usize {
         self.counts.first().map_or(0, |(_, count)| *count)
     }
 }
--- a/crates/dispatch/tests/cold_start.rs
+++ b/crates/dispatch/tests/cold_start.rs
@@ -170,9 +170,9 @@
     peak.record(64, second);
     peak.record(40, 2 * second);
     peak.record(43, 3 * second);
-    assert_eq!(peak.most(), 64);
+    assert_eq!(peak.max(), 64);
     peak.record(43, second + Peak::WINDOW);
-    assert_eq!(peak.most(), 43);
+    assert_eq!(peak.max(), 43);
     peak.record(70, 30 * second);
-    assert_eq!(peak.most(), 70);
+    assert_eq!(peak.max(), 70);
 }
--- a/crates/path/src/state/candidates.rs
+++ b/crates/path/src/state/candidates.rs
@@ -67,7 +67,7 @@
             max_per_second,
         };
         let known = self.members.count();
-        let part = cold_start::rate_share(known, self.peak.most());
+        let part = cold_start::rate_share(known, self.peak.max());
         let spared = wish.failed || wish.claim == Claim::Own || now < ALONE;
         candidates.retain(|it| {
             let tag = it.target.tag();
