--- a/crates/dispatch/src/cold_start.rs
+++ b/crates/dispatch/src/cold_start.rs
@@ -163,7 +163,10 @@
 }
 
 /// Tags of the targets in a failure domain.
-pub fn of_domain<'a>(targets: impl Iterator<Item = &'a Arc<Target>>, domain: &str) -> Vec<Tag> {
+pub fn tags_in_domain<'a>(
+    targets: impl Iterator<Item = &'a Arc<Target>>,
+    domain: &str,
+) -> Vec<Tag> {
     let in_domain = targets.filter(|it| it.domain.as_ref() == domain);
     in_domain.map(|it| it.tag()).collect()
 }
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -361,7 +361,7 @@
             let evacuation::Change::Reopened(domain) = change else {
                 continue;
             };
-            for tag in cold_start::of_domain(self.registry.all(), domain) {
+            for tag in cold_start::tags_in_domain(self.registry.all(), domain) {
                 self.cold.mark_uncertain(tag, now);
             }
         }
