--- a/crates/dispatch/src/usage.rs
+++ b/crates/dispatch/src/usage.rs
@@ -67,7 +67,7 @@
     }
 
     /// Records that a target has prefilled `unread` tokens of a request.
-    pub fn read(&mut self, tag: Tag, unread: u64) {
+    pub fn end_prefill(&mut self, tag: Tag, unread: u64) {
         for map in [&mut self.own, &mut self.total] {
             if let Some(load) = map.get_mut(&tag) {
                 load.unread = load.unread.saturating_sub(unread);
--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -205,7 +205,7 @@
         let tag = self.target.tag();
         {
             let mut state = node.state.borrow_mut();
-            state.usage.read(tag, unread);
+            state.usage.end_prefill(tag, unread);
             state.backoffs.note_running(tag, node.now());
         }
         self.tell(&node, Content::Read { tag, unread });
@@ -253,7 +253,7 @@
         let unread = self.unread.get();
         {
             let mut state = node.state.borrow_mut();
-            state.usage.read(tag, unread);
+            state.usage.end_prefill(tag, unread);
             state.usage.end(tag);
             if let (Giver::Own(_), Some(content)) = (self.giver, self.content) {
                 state.copies.end(content, tag);
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -355,7 +355,7 @@
     fn read(&mut self, number: u64, grant: Grant, now: Duration) {
         let customer = self.requests[&number].customer;
         *self.begun.entry((customer, now.as_secs())).or_default() += PROMPT;
-        self.usage(number).read(grant.tag, grant.unread);
+        self.usage(number).end_prefill(grant.tag, grant.unread);
         let peer = self.peer(number);
         self.owner.read_for(peer, grant.tag, grant.unread, now);
         let returned = Return {
