--- a/crates/dispatch/src/usage.rs
+++ b/crates/dispatch/src/usage.rs
@@ -97,7 +97,7 @@
     }
 
     /// Records that a target has prefilled `unread` tokens of a peer's request.
-    pub fn read_for(&mut self, peer: Peer, tag: Tag, unread: u64) {
+    pub fn end_prefill_for(&mut self, peer: Peer, tag: Tag, unread: u64) {
         self.subtract_for(peer, tag, Load { running: 0, unread });
     }
 
--- a/crates/dispatch/tests/cells.rs
+++ b/crates/dispatch/tests/cells.rs
@@ -227,7 +227,7 @@
                 held.unread += unread;
             }
             3 => {
-                usage.read_for(peer, tag, unread);
+                usage.end_prefill_for(peer, tag, unread);
                 held.unread = held.unread.saturating_sub(unread);
             }
             4..7 => {
--- a/crates/path/src/state/ended.rs
+++ b/crates/path/src/state/ended.rs
@@ -34,7 +34,7 @@
 
     /// A target has read another router's prompt.
     pub(crate) fn read_for(&mut self, peer: Peer, tag: Tag, unread: u64, now: Duration) {
-        self.usage.read_for(peer, tag, unread);
+        self.usage.end_prefill_for(peer, tag, unread);
         self.backoffs.note_running(tag, now);
     }
 
