--- a/crates/dispatch/src/usage.rs
+++ b/crates/dispatch/src/usage.rs
@@ -124,7 +124,12 @@
     }
 
     /// Replaces the load of a peer by its report.
-    pub fn report(&mut self, peer: Peer, loads: impl Iterator<Item = (Tag, Load)>, now: Duration) {
+    pub fn apply_report(
+        &mut self,
+        peer: Peer,
+        loads: impl Iterator<Item = (Tag, Load)>,
+        now: Duration,
+    ) {
         let loads: HashMap<Tag, Load> = loads.collect();
         let previous = self.peers.insert(
             peer,
--- a/crates/dispatch/tests/cells.rs
+++ b/crates/dispatch/tests/cells.rs
@@ -237,7 +237,7 @@
             }
             _ => {
                 let load = Load { running: 2, unread };
-                usage.report(peer, [(tag, load)].into_iter(), now);
+                usage.apply_report(peer, [(tag, load)].into_iter(), now);
                 naive.retain(|(it, _), _| *it != peer);
                 naive.insert((peer, tag), load);
             }
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -215,7 +215,7 @@
         running: 3,
         unread: 50,
     };
-    usage.report(peer, [(a, load)].into_iter(), ms(0));
+    usage.apply_report(peer, [(a, load)].into_iter(), ms(0));
     assert_eq!(
         usage.total(a),
         Load {
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -110,7 +110,7 @@
     {
         let mut state = node.state.borrow_mut();
         let loads = work.loads.iter().map(|it| (it.tag, it.load));
-        state.usage.report(peer, loads, now);
+        state.usage.apply_report(peer, loads, now);
         for used in &work.uses {
             state.memory.hear(*used, now);
         }
