--- a/crates/dispatch/src/usage.rs
+++ b/crates/dispatch/src/usage.rs
@@ -154,12 +154,12 @@
     pub fn prune(&mut self, now: Duration) {
         let expired = |it: &Report| now.saturating_sub(it.updated_at) >= PEER_TIMEOUT;
         if self.peers.values().any(expired) {
-            self.sum(now);
+            self.recompute_totals(now);
         }
     }
 
     /// Drops peers whose load was not updated for [`PEER_TIMEOUT`], and recomputes the totals.
-    pub fn sum(&mut self, now: Duration) {
+    pub fn recompute_totals(&mut self, now: Duration) {
         self.peers
             .retain(|_, it| now.saturating_sub(it.updated_at) < PEER_TIMEOUT);
         self.total = self.own.clone();
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -233,7 +233,7 @@
     assert_eq!(usage.routers(), 2);
     usage.end_prefill(a, 100);
     usage.end(a);
-    usage.sum(PEER_TIMEOUT);
+    usage.recompute_totals(PEER_TIMEOUT);
     assert_eq!(usage.total(a), Load::default());
 }
 
