--- a/crates/dispatch/src/usage.rs
+++ b/crates/dispatch/src/usage.rs
@@ -183,7 +183,7 @@
     }
 
     /// This router's own load at all targets.
-    pub fn all_own(&self) -> impl Iterator<Item = (Tag, Load)> {
+    pub fn own_loads(&self) -> impl Iterator<Item = (Tag, Load)> {
         self.own.iter().map(|(tag, load)| (*tag, *load))
     }
 
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -321,7 +321,10 @@
     #[must_use]
     pub fn places(&self) -> usize {
         let state = self.state.borrow();
-        let running = state.usage.all_own().map(|(_, load)| load.running as usize);
+        let running = state
+            .usage
+            .own_loads()
+            .map(|(_, load)| load.running as usize);
         running.sum()
     }
 
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -235,7 +235,7 @@
         let mut state = node.state.borrow_mut();
         let state = &mut *state;
         let mut reports: HashMap<SocketAddr, Work> = HashMap::new();
-        for (tag, load) in state.usage.all_own().filter(|(_, it)| it.running > 0) {
+        for (tag, load) in state.usage.own_loads().filter(|(_, it)| it.running > 0) {
             let Some(target) = state.registry.get(tag) else {
                 continue;
             };
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -383,7 +383,7 @@
             self.owner.confirm(peer, &[number], now);
         }
         for (peer, usage) in (0..).map(Peer).zip(&self.usages) {
-            self.owner.usage.apply_report(peer, usage.all_own(), now);
+            self.owner.usage.apply_report(peer, usage.own_loads(), now);
         }
         self.owner.lapse(now);
         self.room_came(now);
