--- a/crates/dispatch/src/usage.rs
+++ b/crates/dispatch/src/usage.rs
@@ -189,7 +189,7 @@
 
     /// Number of routers with a recent update, including this one.
     #[must_use]
-    pub fn routers(&self) -> usize {
+    pub fn router_count(&self) -> usize {
         self.peers.len() + 1
     }
 }
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -230,7 +230,7 @@
             unread: 100
         }
     );
-    assert_eq!(usage.routers(), 2);
+    assert_eq!(usage.router_count(), 2);
     usage.end_prefill(a, 100);
     usage.end(a);
     usage.recompute_totals(PEER_TIMEOUT);
