--- a/crates/dispatch/src/prefix.rs
+++ b/crates/dispatch/src/prefix.rs
@@ -152,14 +152,14 @@
 
 /// Prefixes that this router and its peers recently sent to targets.
 #[derive(Clone, Debug, Default)]
-pub struct Memory {
+pub struct History {
     uses: HashMap<Use, Duration>,
     recent: VecDeque<(Duration, Use)>,
     /// Number of grants to peers that have been neither used nor withdrawn.
     granted: HashMap<Use, u32>,
 }
 
-impl Memory {
+impl History {
     /// Creates an empty history.
     #[must_use]
     pub fn new() -> Self {
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -9,7 +9,7 @@
 };
 use dunlinward_dispatch::health::{Health, Outcome};
 use dunlinward_dispatch::placement::{self, Ask, Candidate, Policy};
-use dunlinward_dispatch::prefix::{self, Memory, Part, Prefix, Prompt, Use};
+use dunlinward_dispatch::prefix::{self, History, Part, Prefix, Prompt, Use};
 use dunlinward_dispatch::reach::Reach;
 use dunlinward_dispatch::registry::{Change, OUTAGE, RETURN_TIME, Registry};
 use dunlinward_dispatch::report::CustomerTag;
@@ -460,17 +460,17 @@
 #[test]
 fn prefix_counts_as_cached_until_its_retention_after_the_last_use_by_any_router() {
     let (prefix, tag) = (Prefix(5), Tag::new("a"));
-    let mut memory = Memory::new();
-    memory.note(prefix, tag, ms(0));
-    assert_eq!(memory.recent(ms(300), ms(300)), [Use::new(prefix, tag)]);
-    assert!(memory.recent(ms(300), ms(301)).is_empty());
-    memory.hear(Use::new(prefix, tag), ms(9000));
+    let mut history = History::new();
+    history.note(prefix, tag, ms(0));
+    assert_eq!(history.recent(ms(300), ms(300)), [Use::new(prefix, tag)]);
+    assert!(history.recent(ms(300), ms(301)).is_empty());
+    history.hear(Use::new(prefix, tag), ms(9000));
     let retention = prefix::kept(570_000, 57_000.0);
     assert_eq!(retention, ms(10_000));
-    assert!(memory.keeps(prefix, tag, retention, ms(18_000)));
-    assert!(!memory.keeps(prefix, tag, retention, ms(19_000)));
-    memory.forget(tag);
-    assert!(!memory.keeps(prefix, tag, retention, ms(9000)));
+    assert!(history.keeps(prefix, tag, retention, ms(18_000)));
+    assert!(!history.keeps(prefix, tag, retention, ms(19_000)));
+    history.forget(tag);
+    assert!(!history.keeps(prefix, tag, retention, ms(9000)));
 }
 
 fn candidates(loads: &[(u32, u64)]) -> Vec<Candidate> {
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -21,7 +21,7 @@
 use dunlinward_dispatch::health::{Health, Outcome};
 use dunlinward_dispatch::member::{Card, Members};
 use dunlinward_dispatch::membership::{Change as MemberChange, Effects, Membership};
-use dunlinward_dispatch::prefix::{Memory, Prompt};
+use dunlinward_dispatch::prefix::{History, Prompt};
 use dunlinward_dispatch::quarantine::Ledger;
 use dunlinward_dispatch::reach::Reach;
 use dunlinward_dispatch::reading::{Reading, Readings};
@@ -123,7 +123,7 @@
     /// Where the store's log goes on behind that list.
     pub(crate) registry_position: Option<Position>,
     pub(crate) usage: Usage,
-    pub(crate) memory: Memory,
+    pub(crate) memory: History,
     /// What engines of this router's cells say that they keep.
     pub(crate) caches: Caches,
     pub(crate) health: Health,
@@ -189,7 +189,7 @@
             registry_reads: Readings::new(peer),
             registry_position: None,
             usage: Usage::new(),
-            memory: Memory::new(),
+            memory: History::new(),
             caches: Caches::new(),
             health: Health::new(),
             backoffs: Backoffs::default(),
