--- a/crates/dispatch/src/prefix.rs
+++ b/crates/dispatch/src/prefix.rs
@@ -167,7 +167,7 @@
     }
 
     /// Records that this router sends a prefix to a target.
-    pub fn note(&mut self, prefix: Prefix, tag: Tag, now: Duration) {
+    pub fn record_sent(&mut self, prefix: Prefix, tag: Tag, now: Duration) {
         let used = Use::new(prefix, tag);
         self.hear(used, now);
         self.recent.push_back((now, used));
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -461,7 +461,7 @@
 fn prefix_counts_as_cached_until_its_retention_after_the_last_use_by_any_router() {
     let (prefix, tag) = (Prefix(5), Tag::new("a"));
     let mut history = History::new();
-    history.note(prefix, tag, ms(0));
+    history.record_sent(prefix, tag, ms(0));
     assert_eq!(history.recent(ms(300), ms(300)), [Use::new(prefix, tag)]);
     assert!(history.recent(ms(300), ms(301)).is_empty());
     history.hear(Use::new(prefix, tag), ms(9000));
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -200,7 +200,7 @@
             self.caches.sent(tag, prompt, now);
         }
         if let Some(prefix) = wish.prompt.as_deref().and_then(Prompt::prefix) {
-            self.memory.note(prefix, tag, now);
+            self.memory.record_sent(prefix, tag, now);
         }
         if let Some(content) = wish.content {
             self.copies.begin(content, tag, now);
@@ -276,7 +276,7 @@
     pub(crate) fn take_place(&mut self, wish: &Wish, grant: &Grant, now: Duration) {
         self.usage.begin(grant.tag, grant.unread);
         if let Some(prefix) = wish.prompt.as_deref().and_then(Prompt::prefix) {
-            self.memory.note(prefix, grant.tag, now);
+            self.memory.record_sent(prefix, grant.tag, now);
         }
     }
 
