--- a/crates/dispatch/src/prefix.rs
+++ b/crates/dispatch/src/prefix.rs
@@ -169,13 +169,13 @@
     /// Records that this router sends a prefix to a target.
     pub fn record_sent(&mut self, prefix: Prefix, tag: Tag, now: Duration) {
         let used = Use::new(prefix, tag);
-        self.hear(used, now);
+        self.record_use(used, now);
         self.recent.push_back((now, used));
     }
 
     /// Records that a prefix was sent to a target, such as by a peer; ignored while [`MAX_USES`]
     /// unexpired uses are stored.
-    pub fn hear(&mut self, used: Use, now: Duration) {
+    pub fn record_use(&mut self, used: Use, now: Duration) {
         if self.uses.len() >= MAX_USES {
             self.uses
                 .retain(|_, at| now.saturating_sub(*at) < MAX_RETENTION);
@@ -194,7 +194,7 @@
     /// Records that a peer uses its grant.
     pub fn sent(&mut self, used: Use, now: Duration) {
         self.not_sent(used);
-        self.hear(used, now);
+        self.record_use(used, now);
     }
 
     /// Records that a peer does not use its grant.
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -464,7 +464,7 @@
     history.record_sent(prefix, tag, ms(0));
     assert_eq!(history.recent(ms(300), ms(300)), [Use::new(prefix, tag)]);
     assert!(history.recent(ms(300), ms(301)).is_empty());
-    history.hear(Use::new(prefix, tag), ms(9000));
+    history.record_use(Use::new(prefix, tag), ms(9000));
     let retention = prefix::kept(570_000, 57_000.0);
     assert_eq!(retention, ms(10_000));
     assert!(history.keeps(prefix, tag, retention, ms(18_000)));
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -112,7 +112,7 @@
         let loads = work.loads.iter().map(|it| (it.tag, it.load));
         state.usage.apply_report(peer, loads, now);
         for used in &work.uses {
-            state.memory.hear(*used, now);
+            state.memory.record_use(*used, now);
         }
         state.confirm(peer, &work.accepted, now);
         for (tag, refusal) in &work.refusals {
