--- a/crates/dispatch/src/prefix.rs
+++ b/crates/dispatch/src/prefix.rs
@@ -187,7 +187,7 @@
 
     /// Records a grant to a peer, which may send the prefix to the target. Until the outcome is
     /// known it counts as sent, so that further requests with the prefix go to the same target.
-    pub fn expect(&mut self, used: Use) {
+    pub fn record_grant(&mut self, used: Use) {
         *self.granted.entry(used).or_default() += 1;
     }
 
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -238,7 +238,7 @@
         let prefix = wish.prompt.as_deref().and_then(Prompt::prefix);
         let prefix = prefix.map(|it| Use::new(it, tag));
         if let Some(prefix) = prefix {
-            self.memory.expect(prefix);
+            self.memory.record_grant(prefix);
         }
         if let Some(content) = wish.content {
             self.copies.begin(content, tag, now);
