--- a/crates/dispatch/src/prefix.rs
+++ b/crates/dispatch/src/prefix.rs
@@ -192,7 +192,7 @@
     }
 
     /// Records that a peer uses its grant.
-    pub fn sent(&mut self, used: Use, now: Duration) {
+    pub fn confirm_grant(&mut self, used: Use, now: Duration) {
         self.not_sent(used);
         self.record_use(used, now);
     }
--- a/crates/path/src/state/ended.rs
+++ b/crates/path/src/state/ended.rs
@@ -65,7 +65,7 @@
             };
             let lease = self.grants.confirm(request);
             if let Some(prefix) = lease.and_then(|it| it.prefix) {
-                self.memory.sent(prefix, now);
+                self.memory.confirm_grant(prefix, now);
             }
         }
     }
