--- a/crates/dispatch/src/prefix.rs
+++ b/crates/dispatch/src/prefix.rs
@@ -193,12 +193,12 @@
 
     /// Records that a peer uses its grant.
     pub fn confirm_grant(&mut self, used: Use, now: Duration) {
-        self.not_sent(used);
+        self.cancel_grant(used);
         self.record_use(used, now);
     }
 
     /// Records that a peer does not use its grant.
-    pub fn not_sent(&mut self, used: Use) {
+    pub fn cancel_grant(&mut self, used: Use) {
         if let Some(count) = self.granted.get_mut(&used) {
             *count -= 1;
             if *count == 0 {
--- a/crates/path/src/state/ended.rs
+++ b/crates/path/src/state/ended.rs
@@ -85,7 +85,7 @@
     fn undo(&mut self, end: End, now: Duration) {
         self.take_back(end.lease.charge, now);
         if let Some(prefix) = end.lease.prefix.filter(|_| !end.confirmed) {
-            self.memory.not_sent(prefix);
+            self.memory.cancel_grant(prefix);
         }
     }
 
