--- a/crates/dispatch/src/prefix.rs
+++ b/crates/dispatch/src/prefix.rs
@@ -222,7 +222,7 @@
     /// Whether a target is assumed to cache a prefix: it was used there within `kept`, or a grant
     /// for it is outstanding.
     #[must_use]
-    pub fn keeps(&self, prefix: Prefix, tag: Tag, kept: Duration, now: Duration) -> bool {
+    pub fn is_cached(&self, prefix: Prefix, tag: Tag, kept: Duration, now: Duration) -> bool {
         let used = Use::new(prefix, tag);
         let at = self.uses.get(&used);
         self.granted.contains_key(&used) || at.is_some_and(|at| now.saturating_sub(*at) < kept)
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -467,10 +467,10 @@
     history.record_use(Use::new(prefix, tag), ms(9000));
     let retention = prefix::kept(570_000, 57_000.0);
     assert_eq!(retention, ms(10_000));
-    assert!(history.keeps(prefix, tag, retention, ms(18_000)));
-    assert!(!history.keeps(prefix, tag, retention, ms(19_000)));
+    assert!(history.is_cached(prefix, tag, retention, ms(18_000)));
+    assert!(!history.is_cached(prefix, tag, retention, ms(19_000)));
     history.forget(tag);
-    assert!(!history.keeps(prefix, tag, retention, ms(9000)));
+    assert!(!history.is_cached(prefix, tag, retention, ms(9000)));
 }
 
 fn candidates(loads: &[(u32, u64)]) -> Vec<Candidate> {
--- a/crates/path/src/state/candidates.rs
+++ b/crates/path/src/state/candidates.rs
@@ -37,7 +37,7 @@
                 target: target.clone(),
                 load: self.usage.total(tag),
                 local: target.domain == wish.domain,
-                keeps: prefix.is_some_and(|it| self.memory.keeps(it, tag, kept, now)),
+                keeps: prefix.is_some_and(|it| self.memory.is_cached(it, tag, kept, now)),
                 held: prompt.and_then(|it| self.caches.held(tag, it, now)),
             }
         });
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -546,7 +546,7 @@
     let now = Duration::from_millis(10);
     let keeps = |fleet: &Fleet, tag| {
         let kept = Duration::from_secs(5);
-        fleet.owner.memory.keeps(prefix, tag, kept, now)
+        fleet.owner.memory.is_cached(prefix, tag, kept, now)
     };
     let tags = [1, 2, 3].map(|number| give(&mut fleet, number));
     assert!(tags.iter().all(|it| *it == tags[0]), "its home");
