--- a/crates/dispatch/src/prefix.rs
+++ b/crates/dispatch/src/prefix.rs
@@ -229,7 +229,7 @@
     }
 
     /// Removes a target that has ended.
-    pub fn forget(&mut self, tag: Tag) {
+    pub fn remove_target(&mut self, tag: Tag) {
         self.uses.retain(|it, _| it.tag != tag);
         self.granted.retain(|it, _| it.tag != tag);
     }
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -469,7 +469,7 @@
     assert_eq!(retention, ms(10_000));
     assert!(history.is_cached(prefix, tag, retention, ms(18_000)));
     assert!(!history.is_cached(prefix, tag, retention, ms(19_000)));
-    history.forget(tag);
+    history.remove_target(tag);
     assert!(!history.is_cached(prefix, tag, retention, ms(9000)));
 }
 
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -377,7 +377,7 @@
 
     /// A target has ended.
     pub(crate) fn forget(&mut self, tag: Tag) {
-        self.memory.forget(tag);
+        self.memory.remove_target(tag);
         self.caches.forget(tag);
         self.health.forget(tag);
         self.reported.forget(tag);
