--- a/crates/dispatch/src/prefix.rs
+++ b/crates/dispatch/src/prefix.rs
@@ -29,7 +29,7 @@
     clippy::cast_precision_loss,
     reason = "token counts are far below 2^52"
 )]
-pub fn kept(memory_tokens: u64, tokens_per_second: f64) -> Duration {
+pub fn retention(memory_tokens: u64, tokens_per_second: f64) -> Duration {
     let seconds = memory_tokens as f64 / tokens_per_second.max(1.0);
     Duration::from_secs_f64(seconds.min(MAX_RETENTION.as_secs_f64())).max(MIN_RETENTION)
 }
@@ -219,13 +219,13 @@
         self.recent.iter().map(|(_, used)| *used).collect()
     }
 
-    /// Whether a target is assumed to cache a prefix: it was used there within `kept`, or a grant
-    /// for it is outstanding.
+    /// Whether a target is assumed to cache a prefix: it was used there within `retention`, or a
+    /// grant for it is outstanding.
     #[must_use]
-    pub fn is_cached(&self, prefix: Prefix, tag: Tag, kept: Duration, now: Duration) -> bool {
+    pub fn is_cached(&self, prefix: Prefix, tag: Tag, retention: Duration, now: Duration) -> bool {
         let used = Use::new(prefix, tag);
         let at = self.uses.get(&used);
-        self.granted.contains_key(&used) || at.is_some_and(|at| now.saturating_sub(*at) < kept)
+        self.granted.contains_key(&used) || at.is_some_and(|at| now.saturating_sub(*at) < retention)
     }
 
     /// Removes a target that has ended.
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -465,7 +465,7 @@
     assert_eq!(history.recent(ms(300), ms(300)), [Use::new(prefix, tag)]);
     assert!(history.recent(ms(300), ms(301)).is_empty());
     history.record_use(Use::new(prefix, tag), ms(9000));
-    let retention = prefix::kept(570_000, 57_000.0);
+    let retention = prefix::retention(570_000, 57_000.0);
     assert_eq!(retention, ms(10_000));
     assert!(history.is_cached(prefix, tag, retention, ms(18_000)));
     assert!(!history.is_cached(prefix, tag, retention, ms(19_000)));
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -136,7 +136,7 @@
         #[expect(clippy::cast_precision_loss, reason = "a few hundred targets")]
         let rate = table.limits().tokens_per_second / self.engines_seen.max(1) as f64;
         let engine = table.service(&service).and_then(|it| it.engine);
-        let kept = prefix::kept(engine.map_or(0, |it| it.memory_tokens), rate);
+        let kept = prefix::retention(engine.map_or(0, |it| it.memory_tokens), rate);
         let mut candidates = self.candidates(wish, kept, now);
         self.spare_cold(settings, wish, &service, &mut candidates, now);
         let together = self.together(wish, &candidates);
