--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -120,7 +120,7 @@
         }
         let remote_penalty = if candidate.local { 0.0 } else { 0.5 };
         let cost = (running + remote_penalty) / slots;
-        let tie = prefix::weight(Prefix(ask.draw), candidate.target.tag());
+        let tie = prefix::rendezvous_weight(Prefix(ask.draw), candidate.target.tag());
         let better = best.as_ref().is_none_or(|(best_cost, best_tie, _)| {
             cost < *best_cost || (cost <= *best_cost && tie < *best_tie)
         });
--- a/crates/dispatch/src/placement/engine.rs
+++ b/crates/dispatch/src/placement/engine.rs
@@ -179,5 +179,5 @@
 fn rendezvous_target(prefix: Option<Prefix>, candidates: &[Candidate]) -> Option<Tag> {
     let prefix = prefix?;
     let tags = candidates.iter().map(|it| it.target.tag());
-    tags.max_by_key(|tag| prefix::weight(prefix, *tag))
+    tags.max_by_key(|tag| prefix::rendezvous_weight(prefix, *tag))
 }
--- a/crates/dispatch/src/prefix.rs
+++ b/crates/dispatch/src/prefix.rs
@@ -122,7 +122,7 @@
 
 /// Rendezvous weight of a target for a prefix; the target with the largest is its home.
 #[must_use]
-pub fn weight(prefix: Prefix, tag: Tag) -> u64 {
+pub fn rendezvous_weight(prefix: Prefix, tag: Tag) -> u64 {
     xxh64(&tag.0.to_le_bytes(), prefix.0)
 }
 
