--- a/crates/dispatch/src/prefix.rs
+++ b/crates/dispatch/src/prefix.rs
@@ -93,7 +93,7 @@
 
     /// The prompt without the tag of its own part, the shortest form for messages to peers.
     #[must_use]
-    pub fn brief(&self) -> Self {
+    pub fn compact(&self) -> Self {
         let own = Part {
             id: 0,
             tokens: self.own_tokens(),
--- a/crates/dispatch/tests/cells.rs
+++ b/crates/dispatch/tests/cells.rs
@@ -259,11 +259,11 @@
         answer_tokens: 9,
         parts: vec![part(1, 300), part(2, 500), part(own, 200)],
     };
-    let (one, other) = (prompt(3).brief(), prompt(4).brief());
+    let (one, other) = (prompt(3).compact(), prompt(4).compact());
     assert_eq!(one, other);
     assert_eq!((one.shared_tokens(), one.own_tokens()), (800, 200));
     assert_eq!(one.prefix(), other.prefix());
     let mut alone = prompt(3);
     alone.parts.drain(..2);
-    assert_eq!(alone.brief().prefix(), None);
+    assert_eq!(alone.compact().prefix(), None);
 }
--- a/crates/path/src/admission.rs
+++ b/crates/path/src/admission.rs
@@ -94,7 +94,7 @@
         .is_some_and(|it| it.engine.is_some());
     let left = call.left.unwrap_or(route.timeout);
     let prompt = call.prompt.filter(|_| engine);
-    let prompt = prompt.map(|it| Rc::new(it.brief()));
+    let prompt = prompt.map(|it| Rc::new(it.compact()));
     let cost = prompt.as_deref().map_or(0, share::cost);
     let regions = &node.settings.regions;
     let of_customer = customer.as_deref().and_then(|it| table.regions_of(it));
