--- a/crates/dispatch/src/cache.rs
+++ b/crates/dispatch/src/cache.rs
@@ -6,7 +6,7 @@
 //! which are prefilled before any later prompt because engines prefill in order of arrival.
 //!
 //! Invariants: content reported before a restart is discarded; after a gap the content is unknown
-//! until a complete listing; content that was not confirmed within [`STALE`] is unknown.
+//! until a complete listing; content that was not confirmed within [`MAX_REPORT_AGE`] is unknown.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 
 /// Age from which a report is ignored: at full load (112 tokens per millisecond) an engine
 /// replaces half of its memory (986,000 tokens) in this time.
-pub const STALE: Duration = Duration::from_secs(5);
+pub const MAX_REPORT_AGE: Duration = Duration::from_secs(5);
 
 /// How long the parts of a sent prompt count as cached without a report: queueing, prefill and two
 /// reports take less time.
@@ -129,7 +129,8 @@
     }
 
     fn is_current(&self, now: Duration) -> bool {
-        self.as_of.is_some_and(|it| now.saturating_sub(it) < STALE)
+        self.as_of
+            .is_some_and(|it| now.saturating_sub(it) < MAX_REPORT_AGE)
     }
 
     fn reported_tokens(&self, part: PartTag) -> u32 {
--- a/crates/dispatch/tests/prefix_cache.rs
+++ b/crates/dispatch/tests/prefix_cache.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dunlinward_dispatch::cache::{Caches, Entry, Finding, Held, News, Question, STALE};
+use dunlinward_dispatch::cache::{Caches, Entry, Finding, Held, MAX_REPORT_AGE, News, Question};
 use dunlinward_dispatch::placement::{self, Ask, Candidate, Policy};
 use dunlinward_dispatch::prefix::{self, Part, Prompt};
 use dunlinward_dispatch::target::{State, Tag, Target};
@@ -84,14 +84,22 @@
     let all = [entry(1, 300), entry(2, 500)];
     caches.take(tag, Question::Listing, news(7, 9, &all), ms(0));
     assert_eq!(caches.held(tag, &prompt(), ms(4_999)), Some(held(800, 800)));
-    assert_eq!(caches.held(tag, &prompt(), STALE), None);
+    assert_eq!(caches.held(tag, &prompt(), MAX_REPORT_AGE), None);
     let since = Question::Changes { since: 9 };
     let restarted = caches.take(tag, since, news(8, 1, &[entry(1, 300)]), ms(100));
     assert_eq!(restarted, Finding::Gap);
     assert_eq!(caches.held(tag, &prompt(), ms(100)), None);
-    assert_eq!(caches.question(tag, STALE), Question::Listing);
-    caches.take(tag, Question::Listing, news(8, 2, &all[..1]), STALE);
-    assert_eq!(caches.held(tag, &prompt(), STALE), Some(held(300, 300)));
+    assert_eq!(caches.question(tag, MAX_REPORT_AGE), Question::Listing);
+    caches.take(
+        tag,
+        Question::Listing,
+        news(8, 2, &all[..1]),
+        MAX_REPORT_AGE,
+    );
+    assert_eq!(
+        caches.held(tag, &prompt(), MAX_REPORT_AGE),
+        Some(held(300, 300))
+    );
 }
 
 #[test]
