--- a/crates/dispatch/src/cache.rs
+++ b/crates/dispatch/src/cache.rs
@@ -30,7 +30,7 @@
 
 /// A query to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Question {
+pub enum Query {
     /// The changes from a sequence number on.
     Changes {
         /// The sequence number.
@@ -90,7 +90,7 @@
 }
 
 impl Cache {
-    fn apply(&mut self, question: Question, news: News, now: Duration) -> Finding {
+    fn apply(&mut self, query: Query, news: News, now: Duration) -> Finding {
         let restarted = self.epoch.is_some_and(|it| it != news.epoch);
         if restarted {
             self.entries.clear();
@@ -99,12 +99,12 @@
         let same_epoch = self.epoch == Some(news.epoch);
         self.epoch = Some(news.epoch);
         self.next = news.next;
-        match question {
-            Question::Listing => {
+        match query {
+            Query::Listing => {
                 self.entries.clear();
                 self.gap = false;
             }
-            Question::Changes { since } => {
+            Query::Changes { since } => {
                 let contiguous = same_epoch || since == 0;
                 self.gap |= news.gap || !contiguous;
             }
@@ -182,25 +182,25 @@
 
     /// The next query to an engine.
     #[must_use]
-    pub fn question(&self, tag: Tag, now: Duration) -> Question {
+    pub fn question(&self, tag: Tag, now: Duration) -> Query {
         let Some(cache) = self.by_target.get(&tag) else {
-            return Question::Listing;
+            return Query::Listing;
         };
         let listed = cache.listed_at;
         let may_list = listed.is_none_or(|it| now.saturating_sub(it) >= MIN_LISTING_INTERVAL);
         if cache.gap && may_list {
-            return Question::Listing;
+            return Query::Listing;
         }
-        Question::Changes { since: cache.next }
+        Query::Changes { since: cache.next }
     }
 
     /// Applies an engine's answer.
-    pub fn take(&mut self, tag: Tag, question: Question, news: News, now: Duration) -> Finding {
+    pub fn take(&mut self, tag: Tag, query: Query, news: News, now: Duration) -> Finding {
         let cache = self.by_target.entry(tag).or_default();
-        if question == Question::Listing {
+        if query == Query::Listing {
             cache.listed_at = Some(now);
         }
-        cache.apply(question, news, now)
+        cache.apply(query, news, now)
     }
 
     /// Records that a prompt is sent to an engine, which caches its shared parts after prefill.
--- a/crates/dispatch/tests/prefix_cache.rs
+++ b/crates/dispatch/tests/prefix_cache.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dunlinward_dispatch::cache::{Caches, Entry, Finding, Held, MAX_REPORT_AGE, News, Question};
+use dunlinward_dispatch::cache::{Caches, Entry, Finding, Held, MAX_REPORT_AGE, News, Query};
 use dunlinward_dispatch::placement::{self, Ask, Candidate, Policy};
 use dunlinward_dispatch::prefix::{self, Part, Prompt};
 use dunlinward_dispatch::target::{State, Tag, Target};
@@ -12,7 +12,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const SINCE_START: Question = Question::Changes { since: 0 };
+const SINCE_START: Query = Query::Changes { since: 0 };
 
 fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
@@ -50,18 +50,18 @@
 fn part_counts_only_if_all_parts_before_it_are_cached() {
     let (tag, mut caches) = (Tag::new("a"), Caches::new());
     assert_eq!(caches.held(tag, &prompt(), ms(0)), None);
-    assert_eq!(caches.question(tag, ms(0)), Question::Listing);
+    assert_eq!(caches.question(tag, ms(0)), Query::Listing);
     let second = news(7, 5, &[entry(2, 500)]);
     assert_eq!(
-        caches.take(tag, Question::Listing, second, ms(0)),
+        caches.take(tag, Query::Listing, second, ms(0)),
         Finding::Current
     );
     assert_eq!(caches.held(tag, &prompt(), ms(0)), Some(held(0, 0)));
-    let since = Question::Changes { since: 5 };
+    let since = Query::Changes { since: 5 };
     assert_eq!(caches.question(tag, ms(0)), since);
     caches.take(tag, since, news(7, 6, &[entry(1, 300)]), ms(10));
     assert_eq!(caches.held(tag, &prompt(), ms(10)), Some(held(800, 800)));
-    let since = Question::Changes { since: 6 };
+    let since = Query::Changes { since: 6 };
     caches.take(
         tag,
         since,
@@ -71,7 +71,7 @@
     assert_eq!(caches.held(tag, &prompt(), ms(20)), Some(held(350, 350)));
     caches.take(
         tag,
-        Question::Changes { since: 8 },
+        Query::Changes { since: 8 },
         news(7, 9, &[entry(1, 0)]),
         ms(30),
     );
@@ -82,20 +82,15 @@
 fn content_that_is_stale_or_from_before_a_restart_is_unknown() {
     let (tag, mut caches) = (Tag::new("a"), Caches::new());
     let all = [entry(1, 300), entry(2, 500)];
-    caches.take(tag, Question::Listing, news(7, 9, &all), ms(0));
+    caches.take(tag, Query::Listing, news(7, 9, &all), ms(0));
     assert_eq!(caches.held(tag, &prompt(), ms(4_999)), Some(held(800, 800)));
     assert_eq!(caches.held(tag, &prompt(), MAX_REPORT_AGE), None);
-    let since = Question::Changes { since: 9 };
+    let since = Query::Changes { since: 9 };
     let restarted = caches.take(tag, since, news(8, 1, &[entry(1, 300)]), ms(100));
     assert_eq!(restarted, Finding::Gap);
     assert_eq!(caches.held(tag, &prompt(), ms(100)), None);
-    assert_eq!(caches.question(tag, MAX_REPORT_AGE), Question::Listing);
-    caches.take(
-        tag,
-        Question::Listing,
-        news(8, 2, &all[..1]),
-        MAX_REPORT_AGE,
-    );
+    assert_eq!(caches.question(tag, MAX_REPORT_AGE), Query::Listing);
+    caches.take(tag, Query::Listing, news(8, 2, &all[..1]), MAX_REPORT_AGE);
     assert_eq!(
         caches.held(tag, &prompt(), MAX_REPORT_AGE),
         Some(held(300, 300))
@@ -106,25 +101,22 @@
 fn content_is_unknown_after_a_gap_until_a_rate_limited_listing() {
     let (tag, mut caches) = (Tag::new("a"), Caches::new());
     let all = [entry(1, 300), entry(2, 500)];
-    caches.take(tag, Question::Listing, news(7, 9, &all), ms(0));
-    let since = Question::Changes { since: 9 };
+    caches.take(tag, Query::Listing, news(7, 9, &all), ms(0));
+    let since = Query::Changes { since: 9 };
     let mut lost = news(7, 90, &[]);
     lost.gap = true;
     assert_eq!(caches.take(tag, since, lost, ms(400)), Finding::Gap);
     assert_eq!(caches.held(tag, &prompt(), ms(400)), None);
-    assert_eq!(
-        caches.question(tag, ms(800)),
-        Question::Changes { since: 90 }
-    );
+    assert_eq!(caches.question(tag, ms(800)), Query::Changes { since: 90 });
     let current = caches.take(
         tag,
-        Question::Changes { since: 90 },
+        Query::Changes { since: 90 },
         news(7, 91, &all),
         ms(800),
     );
     assert_eq!(current, Finding::Gap);
-    assert_eq!(caches.question(tag, ms(2_000)), Question::Listing);
-    caches.take(tag, Question::Listing, news(7, 95, &all[..1]), ms(2_000));
+    assert_eq!(caches.question(tag, ms(2_000)), Query::Listing);
+    caches.take(tag, Query::Listing, news(7, 95, &all[..1]), ms(2_000));
     assert_eq!(caches.held(tag, &prompt(), ms(2_000)), Some(held(300, 300)));
 }
 
@@ -135,7 +127,7 @@
     caches.take(tag, SINCE_START, news(7, 0, &[]), ms(0));
     caches.sent(tag, &prompt(), ms(100));
     assert_eq!(caches.held(tag, &prompt(), ms(100)), Some(held(0, 800)));
-    let since = Question::Changes { since: 0 };
+    let since = Query::Changes { since: 0 };
     caches.take(tag, since, news(7, 0, &[]), ms(1_600));
     assert_eq!(caches.held(tag, &prompt(), ms(1_600)), Some(held(0, 0)));
     caches.forget(tag);
@@ -172,11 +164,11 @@
             if random.random_ratio(1, 10) {
                 continue;
             }
-            let question = caches.question(tag, now);
+            let query = caches.question(tag, now);
             let next = log.len() as u64;
-            let answer = match question {
-                Question::Listing => news(epoch, next, &[entry(1, cached[1]), entry(2, cached[2])]),
-                Question::Changes { since } => {
+            let answer = match query {
+                Query::Listing => news(epoch, next, &[entry(1, cached[1]), entry(2, cached[2])]),
+                Query::Changes { since } => {
                     let since = usize::try_from(since).unwrap();
                     let from = since.max(oldest_available).min(log.len());
                     let mut update = news(epoch, next, &log[from..]);
@@ -184,7 +176,7 @@
                     update
                 }
             };
-            caches.take(tag, question, answer, now);
+            caches.take(tag, query, answer, now);
             let reference = {
                 let first = u64::from(cached[1]).min(300);
                 let second = u64::from(cached[2]).min(500);
--- a/crates/path/src/dialect.rs
+++ b/crates/path/src/dialect.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dunlinward_dispatch::cache::{News, Question};
+use dunlinward_dispatch::cache::{News, Query};
 use dunlinward_dispatch::prefix::Prompt;
 use hyper::http::{request, response};
 use hyper::{HeaderMap, Uri};
@@ -91,12 +91,12 @@
     fn answer(&self, head: &response::Parts) -> Answer;
 
     /// Path by which a model engine is asked about its memory.
-    fn cache_path(&self, question: Question) -> Uri;
+    fn cache_path(&self, question: Query) -> Uri;
 
     /// Reads what it answers.
     ///
     /// # Errors
     ///
     /// If it can't be read.
-    fn cache_news(&self, question: Question, body: &[u8]) -> Result<News, Malformed>;
+    fn cache_news(&self, question: Query, body: &[u8]) -> Result<News, Malformed>;
 }
