--- a/crates/dispatch/src/cache.rs
+++ b/crates/dispatch/src/cache.rs
@@ -182,7 +182,7 @@
 
     /// The next query to an engine.
     #[must_use]
-    pub fn question(&self, tag: Tag, now: Duration) -> Query {
+    pub fn next_query(&self, tag: Tag, now: Duration) -> Query {
         let Some(cache) = self.by_target.get(&tag) else {
             return Query::Listing;
         };
--- a/crates/dispatch/tests/prefix_cache.rs
+++ b/crates/dispatch/tests/prefix_cache.rs
@@ -50,7 +50,7 @@
 fn part_counts_only_if_all_parts_before_it_are_cached() {
     let (tag, mut caches) = (Tag::new("a"), Caches::new());
     assert_eq!(caches.held(tag, &prompt(), ms(0)), None);
-    assert_eq!(caches.question(tag, ms(0)), Query::Listing);
+    assert_eq!(caches.next_query(tag, ms(0)), Query::Listing);
     let second = news(7, 5, &[entry(2, 500)]);
     assert_eq!(
         caches.take(tag, Query::Listing, second, ms(0)),
@@ -58,7 +58,7 @@
     );
     assert_eq!(caches.held(tag, &prompt(), ms(0)), Some(held(0, 0)));
     let since = Query::Changes { since: 5 };
-    assert_eq!(caches.question(tag, ms(0)), since);
+    assert_eq!(caches.next_query(tag, ms(0)), since);
     caches.take(tag, since, news(7, 6, &[entry(1, 300)]), ms(10));
     assert_eq!(caches.held(tag, &prompt(), ms(10)), Some(held(800, 800)));
     let since = Query::Changes { since: 6 };
@@ -89,7 +89,7 @@
     let restarted = caches.take(tag, since, news(8, 1, &[entry(1, 300)]), ms(100));
     assert_eq!(restarted, Finding::Gap);
     assert_eq!(caches.held(tag, &prompt(), ms(100)), None);
-    assert_eq!(caches.question(tag, MAX_REPORT_AGE), Query::Listing);
+    assert_eq!(caches.next_query(tag, MAX_REPORT_AGE), Query::Listing);
     caches.take(tag, Query::Listing, news(8, 2, &all[..1]), MAX_REPORT_AGE);
     assert_eq!(
         caches.held(tag, &prompt(), MAX_REPORT_AGE),
@@ -107,7 +107,10 @@
     lost.gap = true;
     assert_eq!(caches.take(tag, since, lost, ms(400)), Finding::Gap);
     assert_eq!(caches.held(tag, &prompt(), ms(400)), None);
-    assert_eq!(caches.question(tag, ms(800)), Query::Changes { since: 90 });
+    assert_eq!(
+        caches.next_query(tag, ms(800)),
+        Query::Changes { since: 90 }
+    );
     let current = caches.take(
         tag,
         Query::Changes { since: 90 },
@@ -115,7 +118,7 @@
         ms(800),
     );
     assert_eq!(current, Finding::Gap);
-    assert_eq!(caches.question(tag, ms(2_000)), Query::Listing);
+    assert_eq!(caches.next_query(tag, ms(2_000)), Query::Listing);
     caches.take(tag, Query::Listing, news(7, 95, &all[..1]), ms(2_000));
     assert_eq!(caches.held(tag, &prompt(), ms(2_000)), Some(held(300, 300)));
 }
@@ -164,7 +167,7 @@
             if random.random_ratio(1, 10) {
                 continue;
             }
-            let query = caches.question(tag, now);
+            let query = caches.next_query(tag, now);
             let next = log.len() as u64;
             let answer = match query {
                 Query::Listing => news(epoch, next, &[entry(1, cached[1]), entry(2, cached[2])]),
--- a/crates/path/src/memories.rs
+++ b/crates/path/src/memories.rs
@@ -136,7 +136,7 @@
 
 async fn ask(node: Rc<Node>, asked: Rc<Asked>, engine: Arc<Target>, before: Pending) {
     let tag = engine.tag();
-    let question = node.state.borrow().caches.question(tag, node.now());
+    let question = node.state.borrow().caches.next_query(tag, node.now());
     let answer = exchange(&node, &engine, question).await;
     let after = match &answer {
         Ok(_) => Pending::Answered,
