--- a/crates/dispatch/src/cache.rs
+++ b/crates/dispatch/src/cache.rs
@@ -51,7 +51,7 @@
 
 /// An engine's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct News {
+pub struct Update {
     /// Start time of the answering engine, in milliseconds of Unix time; none if not reported.
     pub born: Option<u64>,
     /// Epoch of the sequence numbers, which changes with each restart.
@@ -90,15 +90,15 @@
 }
 
 impl Cache {
-    fn apply(&mut self, query: Query, news: News, now: Duration) -> Finding {
-        let restarted = self.epoch.is_some_and(|it| it != news.epoch);
+    fn apply(&mut self, query: Query, update: Update, now: Duration) -> Finding {
+        let restarted = self.epoch.is_some_and(|it| it != update.epoch);
         if restarted {
             self.entries.clear();
             self.sent.clear();
         }
-        let same_epoch = self.epoch == Some(news.epoch);
-        self.epoch = Some(news.epoch);
-        self.next = news.next;
+        let same_epoch = self.epoch == Some(update.epoch);
+        self.epoch = Some(update.epoch);
+        self.next = update.next;
         match query {
             Query::Listing => {
                 self.entries.clear();
@@ -106,10 +106,10 @@
             }
             Query::Changes { since } => {
                 let contiguous = same_epoch || since == 0;
-                self.gap |= news.gap || !contiguous;
+                self.gap |= update.gap || !contiguous;
             }
         }
-        for entry in news.entries {
+        for entry in update.entries {
             self.apply_entry(entry);
         }
         self.as_of = (!self.gap).then_some(now);
@@ -195,12 +195,12 @@
     }
 
     /// Applies an engine's answer.
-    pub fn take(&mut self, tag: Tag, query: Query, news: News, now: Duration) -> Finding {
+    pub fn take(&mut self, tag: Tag, query: Query, update: Update, now: Duration) -> Finding {
         let cache = self.by_target.entry(tag).or_default();
         if query == Query::Listing {
             cache.listed_at = Some(now);
         }
-        cache.apply(query, news, now)
+        cache.apply(query, update, now)
     }
 
     /// Records that a prompt is sent to an engine, which caches its shared parts after prefill.
--- a/crates/dispatch/tests/prefix_cache.rs
+++ b/crates/dispatch/tests/prefix_cache.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dunlinward_dispatch::cache::{Caches, Entry, Finding, Held, MAX_REPORT_AGE, News, Query};
+use dunlinward_dispatch::cache::{Caches, Entry, Finding, Held, MAX_REPORT_AGE, Query, Update};
 use dunlinward_dispatch::placement::{self, Ask, Candidate, Policy};
 use dunlinward_dispatch::prefix::{self, Part, Prompt};
 use dunlinward_dispatch::target::{State, Tag, Target};
@@ -22,8 +22,8 @@
     Entry { part, tokens }
 }
 
-fn news(epoch: u64, next: u64, entries: &[Entry]) -> News {
-    News {
+fn update(epoch: u64, next: u64, entries: &[Entry]) -> Update {
+    Update {
         born: None,
         epoch,
         next,
@@ -51,7 +51,7 @@
     let (tag, mut caches) = (Tag::new("a"), Caches::new());
     assert_eq!(caches.held(tag, &prompt(), ms(0)), None);
     assert_eq!(caches.next_query(tag, ms(0)), Query::Listing);
-    let second = news(7, 5, &[entry(2, 500)]);
+    let second = update(7, 5, &[entry(2, 500)]);
     assert_eq!(
         caches.take(tag, Query::Listing, second, ms(0)),
         Finding::Current
@@ -59,20 +59,20 @@
     assert_eq!(caches.held(tag, &prompt(), ms(0)), Some(held(0, 0)));
     let since = Query::Changes { since: 5 };
     assert_eq!(caches.next_query(tag, ms(0)), since);
-    caches.take(tag, since, news(7, 6, &[entry(1, 300)]), ms(10));
+    caches.take(tag, since, update(7, 6, &[entry(1, 300)]), ms(10));
     assert_eq!(caches.held(tag, &prompt(), ms(10)), Some(held(800, 800)));
     let since = Query::Changes { since: 6 };
     caches.take(
         tag,
         since,
-        news(7, 8, &[entry(2, 100), entry(2, 50)]),
+        update(7, 8, &[entry(2, 100), entry(2, 50)]),
         ms(20),
     );
     assert_eq!(caches.held(tag, &prompt(), ms(20)), Some(held(350, 350)));
     caches.take(
         tag,
         Query::Changes { since: 8 },
-        news(7, 9, &[entry(1, 0)]),
+        update(7, 9, &[entry(1, 0)]),
         ms(30),
     );
     assert_eq!(caches.held(tag, &prompt(), ms(30)), Some(held(0, 0)));
@@ -82,15 +82,15 @@
 fn content_that_is_stale_or_from_before_a_restart_is_unknown() {
     let (tag, mut caches) = (Tag::new("a"), Caches::new());
     let all = [entry(1, 300), entry(2, 500)];
-    caches.take(tag, Query::Listing, news(7, 9, &all), ms(0));
+    caches.take(tag, Query::Listing, update(7, 9, &all), ms(0));
     assert_eq!(caches.held(tag, &prompt(), ms(4_999)), Some(held(800, 800)));
     assert_eq!(caches.held(tag, &prompt(), MAX_REPORT_AGE), None);
     let since = Query::Changes { since: 9 };
-    let restarted = caches.take(tag, since, news(8, 1, &[entry(1, 300)]), ms(100));
+    let restarted = caches.take(tag, since, update(8, 1, &[entry(1, 300)]), ms(100));
     assert_eq!(restarted, Finding::Gap);
     assert_eq!(caches.held(tag, &prompt(), ms(100)), None);
     assert_eq!(caches.next_query(tag, MAX_REPORT_AGE), Query::Listing);
-    caches.take(tag, Query::Listing, news(8, 2, &all[..1]), MAX_REPORT_AGE);
+    caches.take(tag, Query::Listing, update(8, 2, &all[..1]), MAX_REPORT_AGE);
     assert_eq!(
         caches.held(tag, &prompt(), MAX_REPORT_AGE),
         Some(held(300, 300))
@@ -101,9 +101,9 @@
 fn content_is_unknown_after_a_gap_until_a_rate_limited_listing() {
     let (tag, mut caches) = (Tag::new("a"), Caches::new());
     let all = [entry(1, 300), entry(2, 500)];
-    caches.take(tag, Query::Listing, news(7, 9, &all), ms(0));
+    caches.take(tag, Query::Listing, update(7, 9, &all), ms(0));
     let since = Query::Changes { since: 9 };
-    let mut lost = news(7, 90, &[]);
+    let mut lost = update(7, 90, &[]);
     lost.gap = true;
     assert_eq!(caches.take(tag, since, lost, ms(400)), Finding::Gap);
     assert_eq!(caches.held(tag, &prompt(), ms(400)), None);
@@ -114,12 +114,12 @@
     let current = caches.take(
         tag,
         Query::Changes { since: 90 },
-        news(7, 91, &all),
+        update(7, 91, &all),
         ms(800),
     );
     assert_eq!(current, Finding::Gap);
     assert_eq!(caches.next_query(tag, ms(2_000)), Query::Listing);
-    caches.take(tag, Query::Listing, news(7, 95, &all[..1]), ms(2_000));
+    caches.take(tag, Query::Listing, update(7, 95, &all[..1]), ms(2_000));
     assert_eq!(caches.held(tag, &prompt(), ms(2_000)), Some(held(300, 300)));
 }
 
@@ -127,11 +127,11 @@
 #[test]
 fn sent_prompt_is_expected_until_a_timeout_and_cannot_be_fetched() {
     let (tag, mut caches) = (Tag::new("a"), Caches::new());
-    caches.take(tag, SINCE_START, news(7, 0, &[]), ms(0));
+    caches.take(tag, SINCE_START, update(7, 0, &[]), ms(0));
     caches.sent(tag, &prompt(), ms(100));
     assert_eq!(caches.held(tag, &prompt(), ms(100)), Some(held(0, 800)));
     let since = Query::Changes { since: 0 };
-    caches.take(tag, since, news(7, 0, &[]), ms(1_600));
+    caches.take(tag, since, update(7, 0, &[]), ms(1_600));
     assert_eq!(caches.held(tag, &prompt(), ms(1_600)), Some(held(0, 0)));
     caches.forget(tag);
     assert_eq!(caches.held(tag, &prompt(), ms(1_600)), None);
@@ -170,13 +170,13 @@
             let query = caches.next_query(tag, now);
             let next = log.len() as u64;
             let answer = match query {
-                Query::Listing => news(epoch, next, &[entry(1, cached[1]), entry(2, cached[2])]),
+                Query::Listing => update(epoch, next, &[entry(1, cached[1]), entry(2, cached[2])]),
                 Query::Changes { since } => {
                     let since = usize::try_from(since).unwrap();
                     let from = since.max(oldest_available).min(log.len());
-                    let mut update = news(epoch, next, &log[from..]);
-                    update.gap = since < oldest_available;
-                    update
+                    let mut changes = update(epoch, next, &log[from..]);
+                    changes.gap = since < oldest_available;
+                    changes
                 }
             };
             caches.take(tag, query, answer, now);
--- a/crates/path/src/dialect.rs
+++ b/crates/path/src/dialect.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dunlinward_dispatch::cache::{News, Query};
+use dunlinward_dispatch::cache::{Query, Update};
 use dunlinward_dispatch::prefix::Prompt;
 use hyper::http::{request, response};
 use hyper::{HeaderMap, Uri};
@@ -98,5 +98,5 @@
     /// # Errors
     ///
     /// If it can't be read.
-    fn cache_news(&self, question: Query, body: &[u8]) -> Result<News, Malformed>;
+    fn cache_news(&self, question: Query, body: &[u8]) -> Result<Update, Malformed>;
 }
--- a/crates/path/src/memories.rs
+++ b/crates/path/src/memories.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dunlinward_dispatch::cache::{Finding, News, Query};
+use dunlinward_dispatch::cache::{Finding, Query, Update};
 use dunlinward_dispatch::region::Allowed;
 use dunlinward_dispatch::target::{Tag, Target};
 use http_body_util::{BodyExt, Full, Limited};
@@ -156,7 +156,7 @@
     asked.pending.borrow_mut().insert(tag, after);
 }
 
-async fn exchange(node: &Rc<Node>, engine: &Target, question: Query) -> Result<News, Error> {
+async fn exchange(node: &Rc<Node>, engine: &Target, question: Query) -> Result<Update, Error> {
     let tag = engine.tag();
     let kept = node.pool.take(tag, node.now());
     let mut connection = if let Some(connection) = kept {
@@ -217,7 +217,7 @@
         engines.cloned().collect()
     }
 
-    fn take_news(&self, engine: &Target, question: Query, news: News) {
+    fn take_news(&self, engine: &Target, question: Query, news: Update) {
         let (tag, now) = (engine.tag(), self.now());
         if !self.same_start(engine, news.born) {
             return;
