--- a/crates/dispatch/src/cache.rs
+++ b/crates/dispatch/src/cache.rs
@@ -66,7 +66,7 @@
 
 /// State of the tracked content after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Finding {
+pub enum Status {
     /// The content is up to date.
     Current,
     /// Changes are missing; a listing is required.
@@ -90,7 +90,7 @@
 }
 
 impl Cache {
-    fn apply(&mut self, query: Query, update: Update, now: Duration) -> Finding {
+    fn apply(&mut self, query: Query, update: Update, now: Duration) -> Status {
         let restarted = self.epoch.is_some_and(|it| it != update.epoch);
         if restarted {
             self.entries.clear();
@@ -114,9 +114,9 @@
         }
         self.as_of = (!self.gap).then_some(now);
         match (self.gap, restarted) {
-            (true, _) => Finding::Gap,
-            (false, true) => Finding::Restarted,
-            (false, false) => Finding::Current,
+            (true, _) => Status::Gap,
+            (false, true) => Status::Restarted,
+            (false, false) => Status::Current,
         }
     }
 
@@ -195,7 +195,7 @@
     }
 
     /// Applies an engine's answer.
-    pub fn take(&mut self, tag: Tag, query: Query, update: Update, now: Duration) -> Finding {
+    pub fn take(&mut self, tag: Tag, query: Query, update: Update, now: Duration) -> Status {
         let cache = self.by_target.entry(tag).or_default();
         if query == Query::Listing {
             cache.listed_at = Some(now);
--- a/crates/dispatch/tests/prefix_cache.rs
+++ b/crates/dispatch/tests/prefix_cache.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dunlinward_dispatch::cache::{Caches, Entry, Finding, Held, MAX_REPORT_AGE, Query, Update};
+use dunlinward_dispatch::cache::{Caches, Entry, Held, MAX_REPORT_AGE, Query, Status, Update};
 use dunlinward_dispatch::placement::{self, Ask, Candidate, Policy};
 use dunlinward_dispatch::prefix::{self, Part, Prompt};
 use dunlinward_dispatch::target::{State, Tag, Target};
@@ -54,7 +54,7 @@
     let second = update(7, 5, &[entry(2, 500)]);
     assert_eq!(
         caches.take(tag, Query::Listing, second, ms(0)),
-        Finding::Current
+        Status::Current
     );
     assert_eq!(caches.held(tag, &prompt(), ms(0)), Some(held(0, 0)));
     let since = Query::Changes { since: 5 };
@@ -87,7 +87,7 @@
     assert_eq!(caches.held(tag, &prompt(), MAX_REPORT_AGE), None);
     let since = Query::Changes { since: 9 };
     let restarted = caches.take(tag, since, update(8, 1, &[entry(1, 300)]), ms(100));
-    assert_eq!(restarted, Finding::Gap);
+    assert_eq!(restarted, Status::Gap);
     assert_eq!(caches.held(tag, &prompt(), ms(100)), None);
     assert_eq!(caches.next_query(tag, MAX_REPORT_AGE), Query::Listing);
     caches.take(tag, Query::Listing, update(8, 2, &all[..1]), MAX_REPORT_AGE);
@@ -105,7 +105,7 @@
     let since = Query::Changes { since: 9 };
     let mut lost = update(7, 90, &[]);
     lost.gap = true;
-    assert_eq!(caches.take(tag, since, lost, ms(400)), Finding::Gap);
+    assert_eq!(caches.take(tag, since, lost, ms(400)), Status::Gap);
     assert_eq!(caches.held(tag, &prompt(), ms(400)), None);
     assert_eq!(
         caches.next_query(tag, ms(800)),
@@ -117,7 +117,7 @@
         update(7, 91, &all),
         ms(800),
     );
-    assert_eq!(current, Finding::Gap);
+    assert_eq!(current, Status::Gap);
     assert_eq!(caches.next_query(tag, ms(2_000)), Query::Listing);
     caches.take(tag, Query::Listing, update(7, 95, &all[..1]), ms(2_000));
     assert_eq!(caches.held(tag, &prompt(), ms(2_000)), Some(held(300, 300)));
--- a/crates/path/src/memories.rs
+++ b/crates/path/src/memories.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dunlinward_dispatch::cache::{Finding, Query, Update};
+use dunlinward_dispatch::cache::{Query, Status, Update};
 use dunlinward_dispatch::region::Allowed;
 use dunlinward_dispatch::target::{Tag, Target};
 use http_body_util::{BodyExt, Full, Limited};
@@ -228,12 +228,12 @@
             .caches
             .take(tag, question, news, now);
         let label = match finding {
-            Finding::Current => "current",
-            Finding::Gap => "gap",
-            Finding::Restarted => "restarted",
+            Status::Current => "current",
+            Status::Gap => "gap",
+            Status::Restarted => "restarted",
         };
         self.metrics.add("memory_questions", label, 1);
-        if finding != Finding::Current {
+        if finding != Status::Current {
             let line = self.journal.line("memory_doubtful");
             let line = line.with("target", engine.id.as_ref());
             drop(line.with("finding", label));
