--- a/crates/dispatch/src/cache.rs
+++ b/crates/dispatch/src/cache.rs
@@ -148,7 +148,7 @@
 /// Cached tokens of a prompt's shared parts at one engine. A part counts only if all parts before
 /// it are cached completely.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct Match {
     /// Tokens that the engine has reported, which other engines can fetch.
     pub told: u64,
     /// Tokens that the engine does not have to prefill for a prompt sent now.
@@ -217,9 +217,9 @@
 
     /// Cached tokens of a prompt's shared parts at an engine; none if its content is unknown.
     #[must_use]
-    pub fn held(&self, tag: Tag, prompt: &Prompt, now: Duration) -> Option<Held> {
+    pub fn held(&self, tag: Tag, prompt: &Prompt, now: Duration) -> Option<Match> {
         let cache = self.by_target.get(&tag).filter(|it| it.is_current(now))?;
-        Some(Held {
+        Some(Match {
             told: leading_tokens(prompt, |part| cache.reported_tokens(part)),
             expected: leading_tokens(prompt, |part| cache.expected_tokens(part, now)),
         })
--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::cache::Held;
+use crate::cache::Match;
 use crate::prefix::{self, Prefix, Prompt};
 use crate::target::Target;
 use crate::usage::Load;
@@ -60,7 +60,7 @@
     /// Whether it is assumed to cache the request's prefix, from the requests sent there.
     pub keeps: bool,
     /// Cached tokens of the request's shared parts; none without a recent report.
-    pub held: Option<Held>,
+    pub held: Option<Match>,
 }
 
 /// A request that needs a target.
--- a/crates/dispatch/tests/prefix_cache.rs
+++ b/crates/dispatch/tests/prefix_cache.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dunlinward_dispatch::cache::{Caches, Entry, Held, MAX_REPORT_AGE, Query, Status, Update};
+use dunlinward_dispatch::cache::{Caches, Entry, MAX_REPORT_AGE, Match, Query, Status, Update};
 use dunlinward_dispatch::placement::{self, Ask, Candidate, Policy};
 use dunlinward_dispatch::prefix::{self, Part, Prompt};
 use dunlinward_dispatch::target::{State, Tag, Target};
@@ -42,8 +42,8 @@
     }
 }
 
-fn held(told: u64, expected: u64) -> Held {
-    Held { told, expected }
+fn matched(told: u64, expected: u64) -> Match {
+    Match { told, expected }
 }
 
 #[test]
@@ -56,11 +56,11 @@
         caches.take(tag, Query::Listing, second, ms(0)),
         Status::Current
     );
-    assert_eq!(caches.held(tag, &prompt(), ms(0)), Some(held(0, 0)));
+    assert_eq!(caches.held(tag, &prompt(), ms(0)), Some(matched(0, 0)));
     let since = Query::Changes { since: 5 };
     assert_eq!(caches.next_query(tag, ms(0)), since);
     caches.take(tag, since, update(7, 6, &[entry(1, 300)]), ms(10));
-    assert_eq!(caches.held(tag, &prompt(), ms(10)), Some(held(800, 800)));
+    assert_eq!(caches.held(tag, &prompt(), ms(10)), Some(matched(800, 800)));
     let since = Query::Changes { since: 6 };
     caches.take(
         tag,
@@ -68,14 +68,14 @@
         update(7, 8, &[entry(2, 100), entry(2, 50)]),
         ms(20),
     );
-    assert_eq!(caches.held(tag, &prompt(), ms(20)), Some(held(350, 350)));
+    assert_eq!(caches.held(tag, &prompt(), ms(20)), Some(matched(350, 350)));
     caches.take(
         tag,
         Query::Changes { since: 8 },
         update(7, 9, &[entry(1, 0)]),
         ms(30),
     );
-    assert_eq!(caches.held(tag, &prompt(), ms(30)), Some(held(0, 0)));
+    assert_eq!(caches.held(tag, &prompt(), ms(30)), Some(matched(0, 0)));
 }
 
 #[test]
@@ -83,7 +83,10 @@
     let (tag, mut caches) = (Tag::new("a"), Caches::new());
     let all = [entry(1, 300), entry(2, 500)];
     caches.take(tag, Query::Listing, update(7, 9, &all), ms(0));
-    assert_eq!(caches.held(tag, &prompt(), ms(4_999)), Some(held(800, 800)));
+    assert_eq!(
+        caches.held(tag, &prompt(), ms(4_999)),
+        Some(matched(800, 800))
+    );
     assert_eq!(caches.held(tag, &prompt(), MAX_REPORT_AGE), None);
     let since = Query::Changes { since: 9 };
     let restarted = caches.take(tag, since, update(8, 1, &[entry(1, 300)]), ms(100));
@@ -93,7 +96,7 @@
     caches.take(tag, Query::Listing, update(8, 2, &all[..1]), MAX_REPORT_AGE);
     assert_eq!(
         caches.held(tag, &prompt(), MAX_REPORT_AGE),
-        Some(held(300, 300))
+        Some(matched(300, 300))
     );
 }
 
@@ -120,7 +123,10 @@
     assert_eq!(current, Status::Gap);
     assert_eq!(caches.next_query(tag, ms(2_000)), Query::Listing);
     caches.take(tag, Query::Listing, update(7, 95, &all[..1]), ms(2_000));
-    assert_eq!(caches.held(tag, &prompt(), ms(2_000)), Some(held(300, 300)));
+    assert_eq!(
+        caches.held(tag, &prompt(), ms(2_000)),
+        Some(matched(300, 300))
+    );
 }
 
 /// A sent prompt is prefilled before any later one, but cannot be fetched until it is reported.
@@ -129,10 +135,10 @@
     let (tag, mut caches) = (Tag::new("a"), Caches::new());
     caches.take(tag, SINCE_START, update(7, 0, &[]), ms(0));
     caches.sent(tag, &prompt(), ms(100));
-    assert_eq!(caches.held(tag, &prompt(), ms(100)), Some(held(0, 800)));
+    assert_eq!(caches.held(tag, &prompt(), ms(100)), Some(matched(0, 800)));
     let since = Query::Changes { since: 0 };
     caches.take(tag, since, update(7, 0, &[]), ms(1_600));
-    assert_eq!(caches.held(tag, &prompt(), ms(1_600)), Some(held(0, 0)));
+    assert_eq!(caches.held(tag, &prompt(), ms(1_600)), Some(matched(0, 0)));
     caches.forget(tag);
     assert_eq!(caches.held(tag, &prompt(), ms(1_600)), None);
 }
@@ -216,7 +222,7 @@
         load: Load { running: 0, unread },
         local: false,
         keeps: false,
-        held: Some(held(told, expected)),
+        held: Some(matched(told, expected)),
     }
 }
 
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use bincode::config::standard;
-use dunlinward_dispatch::cache::Held;
+use dunlinward_dispatch::cache::Match;
 use dunlinward_dispatch::cell::{self, Cell, ServiceTag};
 use dunlinward_dispatch::content::ContentTag;
 use dunlinward_dispatch::member::{Card, Condition, Members};
@@ -325,7 +325,7 @@
             },
             local: false,
             keeps: number % 9 == 0,
-            held: Some(Held {
+            held: Some(Match {
                 told: 700,
                 expected: 700,
             }),
