--- a/crates/dispatch/src/cache.rs
+++ b/crates/dispatch/src/cache.rs
@@ -150,7 +150,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Match {
     /// Tokens that the engine has reported, which other engines can fetch.
-    pub told: u64,
+    pub reported: u64,
     /// Tokens that the engine does not have to prefill for a prompt sent now.
     pub expected: u64,
 }
@@ -220,7 +220,7 @@
     pub fn held(&self, tag: Tag, prompt: &Prompt, now: Duration) -> Option<Match> {
         let cache = self.by_target.get(&tag).filter(|it| it.is_current(now))?;
         Some(Match {
-            told: leading_tokens(prompt, |part| cache.reported_tokens(part)),
+            reported: leading_tokens(prompt, |part| cache.reported_tokens(part)),
             expected: leading_tokens(prompt, |part| cache.expected_tokens(part, now)),
         })
     }
--- a/crates/dispatch/src/placement/engine.rs
+++ b/crates/dispatch/src/placement/engine.rs
@@ -115,7 +115,9 @@
 
 /// The candidate that reports most cached tokens of the prefix, and their number.
 fn fetch_source(candidates: &[Candidate]) -> Option<(&Candidate, u64)> {
-    let reported = candidates.iter().filter_map(|it| Some((it, it.held?.told)));
+    let reported = candidates
+        .iter()
+        .filter_map(|it| Some((it, it.held?.reported)));
     reported.max_by_key(|(candidate, cached)| (*cached, std::cmp::Reverse(candidate.load.unread)))
 }
 
--- a/crates/dispatch/tests/prefix_cache.rs
+++ b/crates/dispatch/tests/prefix_cache.rs
@@ -42,8 +42,8 @@
     }
 }
 
-fn matched(told: u64, expected: u64) -> Match {
-    Match { told, expected }
+fn matched(reported: u64, expected: u64) -> Match {
+    Match { reported, expected }
 }
 
 #[test]
@@ -193,7 +193,7 @@
             };
             if let Some(held) = caches.held(tag, &prompt(), now) {
                 known += 1;
-                assert_eq!(held.told, reference, "seed {seed}, step {step}");
+                assert_eq!(held.reported, reference, "seed {seed}, step {step}");
             }
         }
         assert!(known > 150, "seed {seed}: known {known} times");
@@ -207,7 +207,7 @@
     assert_eq!(prefix::part_tag("m", 1), prefix::part_tag("m", 1));
 }
 
-fn candidate(number: u16, unread: u64, told: u64, expected: u64) -> Candidate {
+fn candidate(number: u16, unread: u64, reported: u64, expected: u64) -> Candidate {
     Candidate {
         target: Arc::new(Target {
             id: format!("t{number}").into(),
@@ -222,7 +222,7 @@
         load: Load { running: 0, unread },
         local: false,
         keeps: false,
-        held: Some(matched(told, expected)),
+        held: Some(matched(reported, expected)),
     }
 }
 
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -326,7 +326,7 @@
             local: false,
             keeps: number % 9 == 0,
             held: Some(Match {
-                told: 700,
+                reported: 700,
                 expected: 700,
             }),
         })
