--- a/crates/dispatch/src/cache.rs
+++ b/crates/dispatch/src/cache.rs
@@ -217,7 +217,7 @@
 
     /// Cached tokens of a prompt's shared parts at an engine; none if its content is unknown.
     #[must_use]
-    pub fn held(&self, tag: Tag, prompt: &Prompt, now: Duration) -> Option<Match> {
+    pub fn prefix_match(&self, tag: Tag, prompt: &Prompt, now: Duration) -> Option<Match> {
         let cache = self.by_target.get(&tag).filter(|it| it.is_current(now))?;
         Some(Match {
             reported: leading_tokens(prompt, |part| cache.reported_tokens(part)),
--- a/crates/dispatch/tests/prefix_cache.rs
+++ b/crates/dispatch/tests/prefix_cache.rs
@@ -49,18 +49,24 @@
 #[test]
 fn part_counts_only_if_all_parts_before_it_are_cached() {
     let (tag, mut caches) = (Tag::new("a"), Caches::new());
-    assert_eq!(caches.held(tag, &prompt(), ms(0)), None);
+    assert_eq!(caches.prefix_match(tag, &prompt(), ms(0)), None);
     assert_eq!(caches.next_query(tag, ms(0)), Query::Listing);
     let second = update(7, 5, &[entry(2, 500)]);
     assert_eq!(
         caches.take(tag, Query::Listing, second, ms(0)),
         Status::Current
     );
-    assert_eq!(caches.held(tag, &prompt(), ms(0)), Some(matched(0, 0)));
+    assert_eq!(
+        caches.prefix_match(tag, &prompt(), ms(0)),
+        Some(matched(0, 0))
+    );
     let since = Query::Changes { since: 5 };
     assert_eq!(caches.next_query(tag, ms(0)), since);
     caches.take(tag, since, update(7, 6, &[entry(1, 300)]), ms(10));
-    assert_eq!(caches.held(tag, &prompt(), ms(10)), Some(matched(800, 800)));
+    assert_eq!(
+        caches.prefix_match(tag, &prompt(), ms(10)),
+        Some(matched(800, 800))
+    );
     let since = Query::Changes { since: 6 };
     caches.take(
         tag,
@@ -68,14 +74,20 @@
         update(7, 8, &[entry(2, 100), entry(2, 50)]),
         ms(20),
     );
-    assert_eq!(caches.held(tag, &prompt(), ms(20)), Some(matched(350, 350)));
+    assert_eq!(
+        caches.prefix_match(tag, &prompt(), ms(20)),
+        Some(matched(350, 350))
+    );
     caches.take(
         tag,
         Query::Changes { since: 8 },
         update(7, 9, &[entry(1, 0)]),
         ms(30),
     );
-    assert_eq!(caches.held(tag, &prompt(), ms(30)), Some(matched(0, 0)));
+    assert_eq!(
+        caches.prefix_match(tag, &prompt(), ms(30)),
+        Some(matched(0, 0))
+    );
 }
 
 #[test]
@@ -84,18 +96,18 @@
     let all = [entry(1, 300), entry(2, 500)];
     caches.take(tag, Query::Listing, update(7, 9, &all), ms(0));
     assert_eq!(
-        caches.held(tag, &prompt(), ms(4_999)),
+        caches.prefix_match(tag, &prompt(), ms(4_999)),
         Some(matched(800, 800))
     );
-    assert_eq!(caches.held(tag, &prompt(), MAX_REPORT_AGE), None);
+    assert_eq!(caches.prefix_match(tag, &prompt(), MAX_REPORT_AGE), None);
     let since = Query::Changes { since: 9 };
     let restarted = caches.take(tag, since, update(8, 1, &[entry(1, 300)]), ms(100));
     assert_eq!(restarted, Status::Gap);
-    assert_eq!(caches.held(tag, &prompt(), ms(100)), None);
+    assert_eq!(caches.prefix_match(tag, &prompt(), ms(100)), None);
     assert_eq!(caches.next_query(tag, MAX_REPORT_AGE), Query::Listing);
     caches.take(tag, Query::Listing, update(8, 2, &all[..1]), MAX_REPORT_AGE);
     assert_eq!(
-        caches.held(tag, &prompt(), MAX_REPORT_AGE),
+        caches.prefix_match(tag, &prompt(), MAX_REPORT_AGE),
         Some(matched(300, 300))
     );
 }
@@ -109,7 +121,7 @@
     let mut lost = update(7, 90, &[]);
     lost.gap = true;
     assert_eq!(caches.take(tag, since, lost, ms(400)), Status::Gap);
-    assert_eq!(caches.held(tag, &prompt(), ms(400)), None);
+    assert_eq!(caches.prefix_match(tag, &prompt(), ms(400)), None);
     assert_eq!(
         caches.next_query(tag, ms(800)),
         Query::Changes { since: 90 }
@@ -124,7 +136,7 @@
     assert_eq!(caches.next_query(tag, ms(2_000)), Query::Listing);
     caches.take(tag, Query::Listing, update(7, 95, &all[..1]), ms(2_000));
     assert_eq!(
-        caches.held(tag, &prompt(), ms(2_000)),
+        caches.prefix_match(tag, &prompt(), ms(2_000)),
         Some(matched(300, 300))
     );
 }
@@ -135,12 +147,18 @@
     let (tag, mut caches) = (Tag::new("a"), Caches::new());
     caches.take(tag, SINCE_START, update(7, 0, &[]), ms(0));
     caches.sent(tag, &prompt(), ms(100));
-    assert_eq!(caches.held(tag, &prompt(), ms(100)), Some(matched(0, 800)));
+    assert_eq!(
+        caches.prefix_match(tag, &prompt(), ms(100)),
+        Some(matched(0, 800))
+    );
     let since = Query::Changes { since: 0 };
     caches.take(tag, since, update(7, 0, &[]), ms(1_600));
-    assert_eq!(caches.held(tag, &prompt(), ms(1_600)), Some(matched(0, 0)));
+    assert_eq!(
+        caches.prefix_match(tag, &prompt(), ms(1_600)),
+        Some(matched(0, 0))
+    );
     caches.forget(tag);
-    assert_eq!(caches.held(tag, &prompt(), ms(1_600)), None);
+    assert_eq!(caches.prefix_match(tag, &prompt(), ms(1_600)), None);
 }
 
 /// Compares the tracked content with that of an engine whose cache changes at random and whose
@@ -191,9 +209,9 @@
                 let second = u64::from(cached[2]).min(500);
                 first + if cached[1] >= 300 { second } else { 0 }
             };
-            if let Some(held) = caches.held(tag, &prompt(), now) {
+            if let Some(matched) = caches.prefix_match(tag, &prompt(), now) {
                 known += 1;
-                assert_eq!(held.reported, reference, "seed {seed}, step {step}");
+                assert_eq!(matched.reported, reference, "seed {seed}, step {step}");
             }
         }
         assert!(known > 150, "seed {seed}: known {known} times");
