--- a/crates/dispatch/src/cache.rs
+++ b/crates/dispatch/src/cache.rs
@@ -195,7 +195,7 @@
     }
 
     /// Applies an engine's answer.
-    pub fn take(&mut self, tag: Tag, query: Query, update: Update, now: Duration) -> Status {
+    pub fn apply(&mut self, tag: Tag, query: Query, update: Update, now: Duration) -> Status {
         let cache = self.by_target.entry(tag).or_default();
         if query == Query::Listing {
             cache.listed_at = Some(now);
--- a/crates/dispatch/tests/prefix_cache.rs
+++ b/crates/dispatch/tests/prefix_cache.rs
@@ -53,7 +53,7 @@
     assert_eq!(caches.next_query(tag, ms(0)), Query::Listing);
     let second = update(7, 5, &[entry(2, 500)]);
     assert_eq!(
-        caches.take(tag, Query::Listing, second, ms(0)),
+        caches.apply(tag, Query::Listing, second, ms(0)),
         Status::Current
     );
     assert_eq!(
@@ -62,13 +62,13 @@
     );
     let since = Query::Changes { since: 5 };
     assert_eq!(caches.next_query(tag, ms(0)), since);
-    caches.take(tag, since, update(7, 6, &[entry(1, 300)]), ms(10));
+    caches.apply(tag, since, update(7, 6, &[entry(1, 300)]), ms(10));
     assert_eq!(
         caches.prefix_match(tag, &prompt(), ms(10)),
         Some(matched(800, 800))
     );
     let since = Query::Changes { since: 6 };
-    caches.take(
+    caches.apply(
         tag,
         since,
         update(7, 8, &[entry(2, 100), entry(2, 50)]),
@@ -78,7 +78,7 @@
         caches.prefix_match(tag, &prompt(), ms(20)),
         Some(matched(350, 350))
     );
-    caches.take(
+    caches.apply(
         tag,
         Query::Changes { since: 8 },
         update(7, 9, &[entry(1, 0)]),
@@ -94,18 +94,18 @@
 fn content_that_is_stale_or_from_before_a_restart_is_unknown() {
     let (tag, mut caches) = (Tag::new("a"), Caches::new());
     let all = [entry(1, 300), entry(2, 500)];
-    caches.take(tag, Query::Listing, update(7, 9, &all), ms(0));
+    caches.apply(tag, Query::Listing, update(7, 9, &all), ms(0));
     assert_eq!(
         caches.prefix_match(tag, &prompt(), ms(4_999)),
         Some(matched(800, 800))
     );
     assert_eq!(caches.prefix_match(tag, &prompt(), MAX_REPORT_AGE), None);
     let since = Query::Changes { since: 9 };
-    let restarted = caches.take(tag, since, update(8, 1, &[entry(1, 300)]), ms(100));
+    let restarted = caches.apply(tag, since, update(8, 1, &[entry(1, 300)]), ms(100));
     assert_eq!(restarted, Status::Gap);
     assert_eq!(caches.prefix_match(tag, &prompt(), ms(100)), None);
     assert_eq!(caches.next_query(tag, MAX_REPORT_AGE), Query::Listing);
-    caches.take(tag, Query::Listing, update(8, 2, &all[..1]), MAX_REPORT_AGE);
+    caches.apply(tag, Query::Listing, update(8, 2, &all[..1]), MAX_REPORT_AGE);
     assert_eq!(
         caches.prefix_match(tag, &prompt(), MAX_REPORT_AGE),
         Some(matched(300, 300))
@@ -116,17 +116,17 @@
 fn content_is_unknown_after_a_gap_until_a_rate_limited_listing() {
     let (tag, mut caches) = (Tag::new("a"), Caches::new());
     let all = [entry(1, 300), entry(2, 500)];
-    caches.take(tag, Query::Listing, update(7, 9, &all), ms(0));
+    caches.apply(tag, Query::Listing, update(7, 9, &all), ms(0));
     let since = Query::Changes { since: 9 };
     let mut lost = update(7, 90, &[]);
     lost.gap = true;
-    assert_eq!(caches.take(tag, since, lost, ms(400)), Status::Gap);
+    assert_eq!(caches.apply(tag, since, lost, ms(400)), Status::Gap);
     assert_eq!(caches.prefix_match(tag, &prompt(), ms(400)), None);
     assert_eq!(
         caches.next_query(tag, ms(800)),
         Query::Changes { since: 90 }
     );
-    let current = caches.take(
+    let current = caches.apply(
         tag,
         Query::Changes { since: 90 },
         update(7, 91, &all),
@@ -134,7 +134,7 @@
     );
     assert_eq!(current, Status::Gap);
     assert_eq!(caches.next_query(tag, ms(2_000)), Query::Listing);
-    caches.take(tag, Query::Listing, update(7, 95, &all[..1]), ms(2_000));
+    caches.apply(tag, Query::Listing, update(7, 95, &all[..1]), ms(2_000));
     assert_eq!(
         caches.prefix_match(tag, &prompt(), ms(2_000)),
         Some(matched(300, 300))
@@ -145,14 +145,14 @@
 #[test]
 fn sent_prompt_is_expected_until_a_timeout_and_cannot_be_fetched() {
     let (tag, mut caches) = (Tag::new("a"), Caches::new());
-    caches.take(tag, SINCE_START, update(7, 0, &[]), ms(0));
+    caches.apply(tag, SINCE_START, update(7, 0, &[]), ms(0));
     caches.sent(tag, &prompt(), ms(100));
     assert_eq!(
         caches.prefix_match(tag, &prompt(), ms(100)),
         Some(matched(0, 800))
     );
     let since = Query::Changes { since: 0 };
-    caches.take(tag, since, update(7, 0, &[]), ms(1_600));
+    caches.apply(tag, since, update(7, 0, &[]), ms(1_600));
     assert_eq!(
         caches.prefix_match(tag, &prompt(), ms(1_600)),
         Some(matched(0, 0))
@@ -203,7 +203,7 @@
                     changes
                 }
             };
-            caches.take(tag, query, answer, now);
+            caches.apply(tag, query, answer, now);
             let reference = {
                 let first = u64::from(cached[1]).min(300);
                 let second = u64::from(cached[2]).min(500);
--- a/crates/path/src/memories.rs
+++ b/crates/path/src/memories.rs
@@ -226,7 +226,7 @@
             .state
             .borrow_mut()
             .caches
-            .take(tag, question, news, now);
+            .apply(tag, question, news, now);
         let label = match finding {
             Status::Current => "current",
             Status::Gap => "gap",
