--- a/crates/dispatch/src/cache.rs
+++ b/crates/dispatch/src/cache.rs
@@ -204,7 +204,7 @@
     }
 
     /// Records that a prompt is sent to an engine, which caches its shared parts after prefill.
-    pub fn sent(&mut self, tag: Tag, prompt: &Prompt, now: Duration) {
+    pub fn record_sent(&mut self, tag: Tag, prompt: &Prompt, now: Duration) {
         let Some(cache) = self.by_target.get_mut(&tag) else {
             return;
         };
--- a/crates/dispatch/tests/prefix_cache.rs
+++ b/crates/dispatch/tests/prefix_cache.rs
@@ -146,7 +146,7 @@
 fn sent_prompt_is_expected_until_a_timeout_and_cannot_be_fetched() {
     let (tag, mut caches) = (Tag::new("a"), Caches::new());
     caches.apply(tag, SINCE_START, update(7, 0, &[]), ms(0));
-    caches.sent(tag, &prompt(), ms(100));
+    caches.record_sent(tag, &prompt(), ms(100));
     assert_eq!(
         caches.prefix_match(tag, &prompt(), ms(100)),
         Some(matched(0, 800))
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -197,7 +197,7 @@
         self.cold.record_request(tag, now);
         self.backoffs.note_sent(tag, now);
         if let Some(prompt) = wish.prompt.as_deref() {
-            self.caches.sent(tag, prompt, now);
+            self.caches.record_sent(tag, prompt, now);
         }
         if let Some(prefix) = wish.prompt.as_deref().and_then(Prompt::prefix) {
             self.memory.record_sent(prefix, tag, now);
@@ -233,7 +233,7 @@
         self.cold.record_request(tag, now);
         self.backoffs.note_sent(tag, now);
         if let Some(prompt) = wish.prompt.as_deref() {
-            self.caches.sent(tag, prompt, now);
+            self.caches.record_sent(tag, prompt, now);
         }
         let prefix = wish.prompt.as_deref().and_then(Prompt::prefix);
         let prefix = prefix.map(|it| Use::new(it, tag));
