--- a/crates/dispatch/src/cache.rs
+++ b/crates/dispatch/src/cache.rs
@@ -226,7 +226,7 @@
     }
 
     /// Removes a target that has ended.
-    pub fn forget(&mut self, tag: Tag) {
+    pub fn remove_target(&mut self, tag: Tag) {
         self.by_target.remove(&tag);
     }
 }
--- a/crates/dispatch/tests/prefix_cache.rs
+++ b/crates/dispatch/tests/prefix_cache.rs
@@ -157,7 +157,7 @@
         caches.prefix_match(tag, &prompt(), ms(1_600)),
         Some(matched(0, 0))
     );
-    caches.forget(tag);
+    caches.remove_target(tag);
     assert_eq!(caches.prefix_match(tag, &prompt(), ms(1_600)), None);
 }
 
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -378,7 +378,7 @@
     /// A target has ended.
     pub(crate) fn forget(&mut self, tag: Tag) {
         self.memory.remove_target(tag);
-        self.caches.forget(tag);
+        self.caches.remove_target(tag);
         self.health.forget(tag);
         self.reported.forget(tag);
         self.backoffs.forget(tag);
