--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -60,7 +60,7 @@
     /// Whether it is assumed to cache the request's prefix, from the requests sent there.
     pub keeps: bool,
     /// Cached tokens of the request's shared parts; none without a recent report.
-    pub held: Option<Match>,
+    pub prefix_match: Option<Match>,
 }
 
 /// A request that needs a target.
--- a/crates/dispatch/src/placement/engine.rs
+++ b/crates/dispatch/src/placement/engine.rs
@@ -72,8 +72,10 @@
         if !has_free_slot(policy, candidate, ask.room) {
             continue;
         }
-        let plan = match candidate.held {
-            Some(held) => plan_with_report(policy, ask, prompt, candidate, held.expected, source),
+        let plan = match candidate.prefix_match {
+            Some(matched) => {
+                plan_with_report(policy, ask, prompt, candidate, matched.expected, source)
+            }
             None => plan_without_report(policy, prompt, candidate, prefix, home),
         };
         if plan.recompute && !ask.may_miss || plan.fetch.is_some() && !ask.may_fetch {
@@ -117,7 +119,7 @@
 fn fetch_source(candidates: &[Candidate]) -> Option<(&Candidate, u64)> {
     let reported = candidates
         .iter()
-        .filter_map(|it| Some((it, it.held?.reported)));
+        .filter_map(|it| Some((it, it.prefix_match?.reported)));
     reported.max_by_key(|(candidate, cached)| (*cached, std::cmp::Reverse(candidate.load.unread)))
 }
 
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -483,7 +483,7 @@
         },
         local: false,
         keeps: false,
-        held: None,
+        prefix_match: None,
     });
     candidates.collect()
 }
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -325,7 +325,7 @@
             },
             local: false,
             keeps: number % 9 == 0,
-            held: Some(Match {
+            prefix_match: Some(Match {
                 reported: 700,
                 expected: 700,
             }),
--- a/crates/path/src/state/candidates.rs
+++ b/crates/path/src/state/candidates.rs
@@ -38,7 +38,7 @@
                 load: self.usage.total(tag),
                 local: target.domain == wish.domain,
                 keeps: prefix.is_some_and(|it| self.memory.is_cached(it, tag, kept, now)),
-                held: prompt.and_then(|it| self.caches.prefix_match(tag, it, now)),
+                prefix_match: prompt.and_then(|it| self.caches.prefix_match(tag, it, now)),
             }
         });
         candidates.collect()
