--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -58,7 +58,7 @@
     /// Whether it is in the failure domain of the router that received the request.
     pub local: bool,
     /// Whether it is assumed to cache the request's prefix, from the requests sent there.
-    pub keeps: bool,
+    pub assumed_cached: bool,
     /// Cached tokens of the request's shared parts; none without a recent report.
     pub prefix_match: Option<Match>,
 }
--- a/crates/dispatch/src/placement/engine.rs
+++ b/crates/dispatch/src/placement/engine.rs
@@ -58,7 +58,7 @@
     candidates: &[Candidate],
 ) -> Option<Choice> {
     let prefix = prompt.prefix();
-    let cached = candidates.iter().any(|it| it.keeps);
+    let cached = candidates.iter().any(|it| it.assumed_cached);
     let home = if cached {
         None
     } else {
@@ -148,7 +148,7 @@
     Plan {
         unread: prompt.own_tokens() as f64 + missing + fetch_cost,
         external_cost: missing * policy.miss + fetch_cost * policy.fetch,
-        hit: cached >= shared || candidate.keeps && missing <= 0.0,
+        hit: cached >= shared || candidate.assumed_cached && missing <= 0.0,
         recompute: false,
         fetch: fetch.map(|(it, _)| it.target.clone()),
     }
@@ -166,7 +166,7 @@
     prefix: Option<Prefix>,
     home: Option<Tag>,
 ) -> Plan {
-    let hit = prefix.is_none() || candidate.keeps;
+    let hit = prefix.is_none() || candidate.assumed_cached;
     let recompute = !hit && home != Some(candidate.target.tag());
     let shared = prompt.shared_tokens() as f64;
     let missing = if hit { 0.0 } else { shared };
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -482,7 +482,7 @@
             unread: *unread,
         },
         local: false,
-        keeps: false,
+        assumed_cached: false,
         prefix_match: None,
     });
     candidates.collect()
@@ -519,7 +519,7 @@
 fn target_that_caches_the_prefix_is_selected_unless_it_is_full() {
     let (policy, prompt) = (Policy::default(), prompt());
     let mut all = candidates(&[(0, 0), (3, 900), (0, 0)]);
-    all[1].keeps = true;
+    all[1].assumed_cached = true;
     let cached = placement::choose(&policy, &ask(Some(&prompt)), &all).unwrap();
     assert_eq!(
         (cached.target.id.as_ref(), cached.hit, cached.unread),
--- a/crates/dispatch/tests/prefix_cache.rs
+++ b/crates/dispatch/tests/prefix_cache.rs
@@ -239,7 +239,7 @@
         }),
         load: Load { running: 0, unread },
         local: false,
-        keeps: false,
+        assumed_cached: false,
         prefix_match: Some(matched(reported, expected)),
     }
 }
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -324,7 +324,7 @@
                 unread: u64::from(number % 7) * 1_000,
             },
             local: false,
-            keeps: number % 9 == 0,
+            assumed_cached: number % 9 == 0,
             prefix_match: Some(Match {
                 reported: 700,
                 expected: 700,
--- a/crates/path/src/state/candidates.rs
+++ b/crates/path/src/state/candidates.rs
@@ -37,7 +37,7 @@
                 target: target.clone(),
                 load: self.usage.total(tag),
                 local: target.domain == wish.domain,
-                keeps: prefix.is_some_and(|it| self.memory.is_cached(it, tag, kept, now)),
+                assumed_cached: prefix.is_some_and(|it| self.memory.is_cached(it, tag, kept, now)),
                 prefix_match: prompt.and_then(|it| self.caches.prefix_match(tag, it, now)),
             }
         });
