--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -63,9 +63,9 @@
     pub prefix_match: Option<Match>,
 }
 
-/// A request that needs a target.
+/// Criteria of a request for its target.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct Criteria<'a> {
     /// The prompt; none unless the request is for a model engine.
     pub prompt: Option<&'a Prompt>,
     /// Objective for the time to the first event.
@@ -103,24 +103,32 @@
 
 /// Selects a target; none if no candidate has capacity.
 #[must_use]
-pub fn choose(policy: &Policy, ask: &Ask<'_>, candidates: &[Candidate]) -> Option<Choice> {
-    match ask.prompt {
-        Some(prompt) => engine::choose(policy, ask, prompt, candidates),
-        None => choose_plain(policy, ask, candidates),
+pub fn choose(
+    policy: &Policy,
+    criteria: &Criteria<'_>,
+    candidates: &[Candidate],
+) -> Option<Choice> {
+    match criteria.prompt {
+        Some(prompt) => engine::choose(policy, criteria, prompt, candidates),
+        None => choose_plain(policy, criteria, candidates),
     }
 }
 
-fn choose_plain(policy: &Policy, ask: &Ask<'_>, candidates: &[Candidate]) -> Option<Choice> {
+fn choose_plain(
+    policy: &Policy,
+    criteria: &Criteria<'_>,
+    candidates: &[Candidate],
+) -> Option<Choice> {
     let mut best: Option<(f64, u64, Choice)> = None;
     for candidate in candidates {
         let slots = f64::from(candidate.target.slots.max(1));
         let running = f64::from(candidate.load.running);
-        if running + 1.0 > slots * policy.queue * ask.room {
+        if running + 1.0 > slots * policy.queue * criteria.room {
             continue;
         }
         let remote_penalty = if candidate.local { 0.0 } else { 0.5 };
         let cost = (running + remote_penalty) / slots;
-        let tie = prefix::rendezvous_weight(Prefix(ask.draw), candidate.target.tag());
+        let tie = prefix::rendezvous_weight(Prefix(criteria.draw), candidate.target.tag());
         let better = best.as_ref().is_none_or(|(best_cost, best_tie, _)| {
             cost < *best_cost || (cost <= *best_cost && tie < *best_tie)
         });
--- a/crates/dispatch/src/placement/engine.rs
+++ b/crates/dispatch/src/placement/engine.rs
@@ -17,7 +17,7 @@
 
 use std::sync::Arc;
 
-use super::{Ask, Candidate, Choice, Policy};
+use super::{Candidate, Choice, Criteria, Policy};
 use crate::prefix::{self, Prefix, Prompt};
 use crate::target::{Tag, Target};
 
@@ -53,7 +53,7 @@
 )]
 pub(super) fn choose(
     policy: &Policy,
-    ask: &Ask<'_>,
+    criteria: &Criteria<'_>,
     prompt: &Prompt,
     candidates: &[Candidate],
 ) -> Option<Choice> {
@@ -65,26 +65,34 @@
         rendezvous_target(prefix, candidates)
     };
     let source = fetch_source(candidates);
-    let remaining = ask.objective.saturating_sub(ask.waited).as_secs_f64();
-    let budget = ask.rate * remaining * policy.reading;
+    let remaining = criteria
+        .objective
+        .saturating_sub(criteria.waited)
+        .as_secs_f64();
+    let budget = criteria.rate * remaining * policy.reading;
     let mut best: Option<(f64, Choice)> = None;
     for candidate in candidates {
-        if !has_free_slot(policy, candidate, ask.room) {
+        if !has_free_slot(policy, candidate, criteria.room) {
             continue;
         }
         let plan = match candidate.prefix_match {
-            Some(matched) => {
-                plan_with_report(policy, ask, prompt, candidate, matched.expected, source)
-            }
+            Some(matched) => plan_with_report(
+                policy,
+                criteria,
+                prompt,
+                candidate,
+                matched.expected,
+                source,
+            ),
             None => plan_without_report(policy, prompt, candidate, prefix, home),
         };
-        if plan.recompute && !ask.may_miss || plan.fetch.is_some() && !ask.may_fetch {
+        if plan.recompute && !criteria.may_miss || plan.fetch.is_some() && !criteria.may_fetch {
             continue;
         }
         let room = if plan.recompute {
-            ask.room * (policy.miss_room * ask.miss_scale).min(1.0)
+            criteria.room * (policy.miss_room * criteria.miss_scale).min(1.0)
         } else {
-            ask.room
+            criteria.room
         };
         if plan.recompute && !has_free_slot(policy, candidate, room) {
             continue;
@@ -130,7 +138,7 @@
 )]
 fn plan_with_report(
     policy: &Policy,
-    ask: &Ask<'_>,
+    criteria: &Criteria<'_>,
     prompt: &Prompt,
     candidate: &Candidate,
     cached: u64,
@@ -138,13 +146,13 @@
 ) -> Plan {
     let shared = prompt.shared_tokens();
     let fetched = source.map_or(0, |(_, most)| most.saturating_sub(cached));
-    let (fetched, seconds_per_token) = match ask.fetch_seconds {
+    let (fetched, seconds_per_token) = match criteria.fetch_seconds {
         Some(seconds_per_token) if fetched >= MIN_FETCH_TOKENS => (fetched, seconds_per_token),
         _ => (0, 0.0),
     };
     let missing = shared.saturating_sub(cached + fetched) as f64;
     let fetch = source.filter(|_| fetched > 0);
-    let fetch_cost = fetched as f64 * seconds_per_token * ask.rate;
+    let fetch_cost = fetched as f64 * seconds_per_token * criteria.rate;
     Plan {
         unread: prompt.own_tokens() as f64 + missing + fetch_cost,
         external_cost: missing * policy.miss + fetch_cost * policy.fetch,
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -8,7 +8,7 @@
     Configuration, Customer, Kind, Limits, Route, Share, Table,
 };
 use dunlinward_dispatch::health::{Health, Outcome};
-use dunlinward_dispatch::placement::{self, Ask, Candidate, Policy};
+use dunlinward_dispatch::placement::{self, Candidate, Criteria, Policy};
 use dunlinward_dispatch::prefix::{self, History, Part, Prefix, Prompt, Use};
 use dunlinward_dispatch::reach::Reach;
 use dunlinward_dispatch::registry::{Change, OUTAGE, RETURN_TIME, Registry};
@@ -488,8 +488,8 @@
     candidates.collect()
 }
 
-fn ask(prompt: Option<&Prompt>) -> Ask<'_> {
-    Ask {
+fn criteria(prompt: Option<&Prompt>) -> Criteria<'_> {
+    Criteria {
         prompt,
         objective: ms(1000),
         rate: 10_000.0,
@@ -507,10 +507,10 @@
 fn uncached_prefix_has_the_same_home_in_any_candidate_order() {
     let (policy, prompt) = (Policy::default(), prompt());
     let mut all = candidates(&[(0, 0), (0, 0), (0, 0), (0, 0)]);
-    let first = placement::choose(&policy, &ask(Some(&prompt)), &all).unwrap();
+    let first = placement::choose(&policy, &criteria(Some(&prompt)), &all).unwrap();
     assert!(!first.hit);
     all.reverse();
-    let second = placement::choose(&policy, &ask(Some(&prompt)), &all).unwrap();
+    let second = placement::choose(&policy, &criteria(Some(&prompt)), &all).unwrap();
     assert_eq!(first.target.id, second.target.id);
     assert_eq!(first.unread, 1000);
 }
@@ -520,14 +520,14 @@
     let (policy, prompt) = (Policy::default(), prompt());
     let mut all = candidates(&[(0, 0), (3, 900), (0, 0)]);
     all[1].assumed_cached = true;
-    let cached = placement::choose(&policy, &ask(Some(&prompt)), &all).unwrap();
+    let cached = placement::choose(&policy, &criteria(Some(&prompt)), &all).unwrap();
     assert_eq!(
         (cached.target.id.as_ref(), cached.hit, cached.unread),
         ("t1", true, 200)
     );
     all[1].load.running = 10;
-    assert!(placement::choose(&policy, &ask(Some(&prompt)), &all).is_none());
-    let mut miss_allowed = ask(Some(&prompt));
+    assert!(placement::choose(&policy, &criteria(Some(&prompt)), &all).is_none());
+    let mut miss_allowed = criteria(Some(&prompt));
     miss_allowed.may_miss = true;
     let missed = placement::choose(&policy, &miss_allowed, &all).unwrap();
     assert!(!missed.hit && missed.target.id.as_ref() != "t1");
@@ -556,8 +556,8 @@
         parts: Vec::new(),
     };
     let all = candidates(&[(4, 0)]);
-    assert!(placement::choose(&policy, &ask(Some(&prompt)), &all).is_some());
-    let mut beyond = ask(Some(&prompt));
+    assert!(placement::choose(&policy, &criteria(Some(&prompt)), &all).is_some());
+    let mut beyond = criteria(Some(&prompt));
     beyond.room = 0.5;
     assert!(placement::choose(&policy, &beyond, &all).is_none());
 }
@@ -566,10 +566,10 @@
 fn plain_request_goes_to_the_least_utilized_target() {
     let policy = Policy::default();
     let all = candidates(&[(5, 0), (2, 0), (9, 0)]);
-    let choice = placement::choose(&policy, &ask(None), &all).unwrap();
+    let choice = placement::choose(&policy, &criteria(None), &all).unwrap();
     assert_eq!(choice.target.id.as_ref(), "t1");
     let full = candidates(&[(20, 0)]);
-    assert!(placement::choose(&policy, &ask(None), &full).is_none());
+    assert!(placement::choose(&policy, &criteria(None), &full).is_none());
 }
 
 #[test]
--- a/crates/dispatch/tests/prefix_cache.rs
+++ b/crates/dispatch/tests/prefix_cache.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dunlinward_dispatch::cache::{Caches, Entry, MAX_REPORT_AGE, Match, Query, Status, Update};
-use dunlinward_dispatch::placement::{self, Ask, Candidate, Policy};
+use dunlinward_dispatch::placement::{self, Candidate, Criteria, Policy};
 use dunlinward_dispatch::prefix::{self, Part, Prompt};
 use dunlinward_dispatch::target::{State, Tag, Target};
 use dunlinward_dispatch::tries::Tries;
@@ -244,8 +244,8 @@
     }
 }
 
-fn ask(prompt: &Prompt) -> Ask<'_> {
-    Ask {
+fn criteria(prompt: &Prompt) -> Criteria<'_> {
+    Criteria {
         prompt: Some(prompt),
         objective: ms(1_000),
         rate: 10_000.0,
@@ -260,8 +260,8 @@
 }
 
 /// The selected engine, its prefill tokens, and the engine that it fetches from.
-fn chosen(ask: &Ask<'_>, candidates: &[Candidate]) -> (String, u64, Option<String>) {
-    let choice = placement::choose(&Policy::default(), ask, candidates).unwrap();
+fn chosen(criteria: &Criteria<'_>, candidates: &[Candidate]) -> (String, u64, Option<String>) {
+    let choice = placement::choose(&Policy::default(), criteria, candidates).unwrap();
     let fetch = choice.fetch.map(|it| it.id.to_string());
     (choice.target.id.to_string(), choice.unread, fetch)
 }
@@ -271,15 +271,15 @@
     let prompt = prompt();
     let idle = [candidate(0, 0, 0, 0), candidate(1, 100, 800, 800)];
     assert_eq!(
-        chosen(&ask(&prompt), &idle),
+        chosen(&criteria(&prompt), &idle),
         ("t1".into(), 200, None),
         "a short queue does not justify a fetch"
     );
     let busy = [candidate(0, 0, 0, 0), candidate(1, 9_000, 800, 800)];
-    let (target, unread, fetch) = chosen(&ask(&prompt), &busy);
+    let (target, unread, fetch) = chosen(&criteria(&prompt), &busy);
     assert_eq!((target.as_str(), fetch.as_deref()), ("t0", Some("t1")));
     assert!(unread < 210, "a fetch does not count as prefill: {unread}");
-    let mut slow = ask(&prompt);
+    let mut slow = criteria(&prompt);
     slow.fetch_seconds = None;
     assert_eq!(chosen(&slow, &busy), ("t0".into(), 1_000, None));
 }
@@ -289,13 +289,13 @@
 #[test]
 fn request_without_permission_to_fetch_does_not_fetch() {
     let prompt = prompt();
-    let mut beyond = ask(&prompt);
+    let mut beyond = criteria(&prompt);
     beyond.may_fetch = false;
     let mut all = [candidate(0, 0, 0, 0), candidate(1, 9_000, 800, 800)];
     assert_eq!(chosen(&beyond, &all), ("t1".into(), 200, None));
     all[1].load.running = 10;
     assert!(placement::choose(&Policy::default(), &beyond, &all).is_none());
-    assert!(placement::choose(&Policy::default(), &ask(&prompt), &all).is_some());
+    assert!(placement::choose(&Policy::default(), &criteria(&prompt), &all).is_some());
     let uncached = [candidate(0, 0, 0, 0), candidate(1, 100, 0, 0)];
     assert_eq!(chosen(&beyond, &uncached), ("t0".into(), 1_000, None));
 }
@@ -304,16 +304,22 @@
 fn expected_but_unreported_tokens_are_not_fetched() {
     let prompt = prompt();
     let sent = [candidate(0, 0, 0, 0), candidate(1, 200, 0, 800)];
-    assert_eq!(chosen(&ask(&prompt), &sent), ("t1".into(), 200, None));
+    assert_eq!(chosen(&criteria(&prompt), &sent), ("t1".into(), 200, None));
     let busy = [candidate(0, 0, 0, 0), candidate(1, 9_000, 0, 800)];
-    assert_eq!(chosen(&ask(&prompt), &busy), ("t0".into(), 1_000, None));
+    assert_eq!(
+        chosen(&criteria(&prompt), &busy),
+        ("t0".into(), 1_000, None)
+    );
 }
 
 #[test]
 fn few_missing_tokens_are_prefilled_and_not_fetched() {
     let prompt = prompt();
     let nearly = [candidate(0, 0, 780, 780), candidate(1, 9_000, 800, 800)];
-    assert_eq!(chosen(&ask(&prompt), &nearly), ("t0".into(), 220, None));
+    assert_eq!(
+        chosen(&criteria(&prompt), &nearly),
+        ("t0".into(), 220, None)
+    );
 }
 
 /// Callers give each first try 15 s, and a later try the remaining time. The time limit of the
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -15,7 +15,7 @@
 use dunlinward_dispatch::content::ContentTag;
 use dunlinward_dispatch::member::{Card, Condition, Members};
 use dunlinward_dispatch::membership::{Kind, Packet, Update};
-use dunlinward_dispatch::placement::{self, Ask as Wanted, Candidate, Policy};
+use dunlinward_dispatch::placement::{self, Candidate, Criteria as Wanted, Policy};
 use dunlinward_dispatch::prefix::{Part, Prompt};
 use dunlinward_dispatch::reading::Reading;
 use dunlinward_dispatch::region::Region;
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dunlinward_dispatch::grants::{self, Request};
-use dunlinward_dispatch::placement::{self, Ask, Choice};
+use dunlinward_dispatch::placement::{self, Choice, Criteria};
 use dunlinward_dispatch::prefix::{self, Prompt, Use};
 use dunlinward_dispatch::report::{Content, CustomerTag, Grant, Wait};
 use dunlinward_dispatch::share::{Charge, Standing};
@@ -140,7 +140,7 @@
         let mut candidates = self.candidates(wish, kept, now);
         self.spare_cold(settings, wish, &service, &mut candidates, now);
         let together = self.together(wish, &candidates);
-        let ask = Ask {
+        let ask = Criteria {
             prompt,
             objective: wish.objective,
             rate,
