--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -75,7 +75,7 @@
     /// Seconds per token of a fetch from another engine's cache; none if fetches are not supported.
     pub fetch_seconds: Option<f64>,
     /// Ratio of the capacity that the request may use, 0 to 1.
-    pub room: f64,
+    pub capacity_share: f64,
     /// Factor on [`Policy::miss_room`] for this request.
     pub miss_scale: f64,
     /// Whether cached prefixes may be fetched from other engines for it.
@@ -123,7 +123,7 @@
     for candidate in candidates {
         let slots = f64::from(candidate.target.slots.max(1));
         let running = f64::from(candidate.load.running);
-        if running + 1.0 > slots * policy.queue * criteria.room {
+        if running + 1.0 > slots * policy.queue * criteria.capacity_share {
             continue;
         }
         let remote_penalty = if candidate.local { 0.0 } else { 0.5 };
--- a/crates/dispatch/src/placement/engine.rs
+++ b/crates/dispatch/src/placement/engine.rs
@@ -72,7 +72,7 @@
     let budget = criteria.rate * remaining * policy.reading;
     let mut best: Option<(f64, Choice)> = None;
     for candidate in candidates {
-        if !has_free_slot(policy, candidate, criteria.room) {
+        if !has_free_slot(policy, candidate, criteria.capacity_share) {
             continue;
         }
         let plan = match candidate.prefix_match {
@@ -89,16 +89,16 @@
         if plan.recompute && !criteria.may_miss || plan.fetch.is_some() && !criteria.may_fetch {
             continue;
         }
-        let room = if plan.recompute {
-            criteria.room * (policy.miss_room * criteria.miss_scale).min(1.0)
+        let capacity_share = if plan.recompute {
+            criteria.capacity_share * (policy.miss_room * criteria.miss_scale).min(1.0)
         } else {
-            criteria.room
+            criteria.capacity_share
         };
-        if plan.recompute && !has_free_slot(policy, candidate, room) {
+        if plan.recompute && !has_free_slot(policy, candidate, capacity_share) {
             continue;
         }
         let queued = candidate.load.unread as f64;
-        let allowed = budget * room;
+        let allowed = budget * capacity_share;
         if queued + plan.unread > allowed && queued > allowed * OVERSIZED_MAX_QUEUE_RATIO {
             continue;
         }
@@ -118,8 +118,8 @@
 }
 
 /// Whether an engine has a free slot within the usable ratio of its slots.
-fn has_free_slot(policy: &Policy, candidate: &Candidate, room: f64) -> bool {
-    let slots = f64::from(candidate.target.slots) * policy.fill * room;
+fn has_free_slot(policy: &Policy, candidate: &Candidate, capacity_share: f64) -> bool {
+    let slots = f64::from(candidate.target.slots) * policy.fill * capacity_share;
     f64::from(candidate.load.running) + 1.0 <= slots.max(1.0)
 }
 
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -494,7 +494,7 @@
         objective: ms(1000),
         rate: 10_000.0,
         fetch_seconds: None,
-        room: 1.0,
+        capacity_share: 1.0,
         miss_scale: 1.0,
         waited: ms(0),
         may_fetch: true,
@@ -558,7 +558,7 @@
     let all = candidates(&[(4, 0)]);
     assert!(placement::choose(&policy, &criteria(Some(&prompt)), &all).is_some());
     let mut beyond = criteria(Some(&prompt));
-    beyond.room = 0.5;
+    beyond.capacity_share = 0.5;
     assert!(placement::choose(&policy, &beyond, &all).is_none());
 }
 
--- a/crates/dispatch/tests/prefix_cache.rs
+++ b/crates/dispatch/tests/prefix_cache.rs
@@ -250,7 +250,7 @@
         objective: ms(1_000),
         rate: 10_000.0,
         fetch_seconds: Some(1e-7),
-        room: 1.0,
+        capacity_share: 1.0,
         miss_scale: 1.0,
         waited: ms(0),
         may_fetch: true,
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -336,7 +336,7 @@
         objective: Duration::from_millis(800),
         rate: 32_000.0,
         fetch_seconds: Some(2.4e-6),
-        room: 1.0,
+        capacity_share: 1.0,
         miss_scale: 1.0,
         waited: Duration::ZERO,
         may_fetch: true,
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -151,7 +151,7 @@
             may_fetch: cover >= 1.0,
             waited: now.saturating_sub(wish.arrived),
             may_miss: now >= wish.arrived + wish.objective.mul_f64(settings.patience.miss),
-            room: self.room(settings, wish, cover),
+            capacity_share: self.room(settings, wish, cover),
             // Who has had little of its share is not bound to the targets that keep its
             // prefix, where others may have taken all room.
             miss_scale: cover.max(1.0),
