--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -77,7 +77,7 @@
     /// Ratio of the capacity that the request may use, 0 to 1.
     pub capacity_share: f64,
     /// Factor on [`Policy::miss_room`] for this request.
-    pub miss_scale: f64,
+    pub miss_capacity_scale: f64,
     /// Whether cached prefixes may be fetched from other engines for it.
     pub may_fetch: bool,
     /// Time since its arrival.
--- a/crates/dispatch/tests/prefix_cache.rs
+++ b/crates/dispatch/tests/prefix_cache.rs
@@ -251,7 +251,7 @@
         rate: 10_000.0,
         fetch_seconds: Some(1e-7),
         capacity_share: 1.0,
-        miss_scale: 1.0,
+        miss_capacity_scale: 1.0,
         waited: ms(0),
         may_fetch: true,
         may_miss: false,
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -337,7 +337,7 @@
         rate: 32_000.0,
         fetch_seconds: Some(2.4e-6),
         capacity_share: 1.0,
-        miss_scale: 1.0,
+        miss_capacity_scale: 1.0,
         waited: Duration::ZERO,
         may_fetch: true,
         may_miss: false,
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -154,7 +154,7 @@
             capacity_share: self.room(settings, wish, cover),
             // Who has had little of its share is not bound to the targets that keep its
             // prefix, where others may have taken all room.
-            miss_scale: cover.max(1.0),
+            miss_capacity_scale: cover.max(1.0),
             draw: wish.draw,
         };
         let policy = &settings.policy;
