--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -79,7 +79,7 @@
     /// Factor on [`Policy::miss_room`] for this request.
     pub miss_capacity_scale: f64,
     /// Whether cached prefixes may be fetched from other engines for it.
-    pub may_fetch: bool,
+    pub allow_fetch: bool,
     /// Time since its arrival.
     pub waited: Duration,
     /// Whether its prefix may be recomputed at an engine that does not cache it.
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -497,7 +497,7 @@
         capacity_share: 1.0,
         miss_capacity_scale: 1.0,
         waited: ms(0),
-        may_fetch: true,
+        allow_fetch: true,
         may_miss: false,
         draw: 3,
     }
--- a/crates/dispatch/tests/prefix_cache.rs
+++ b/crates/dispatch/tests/prefix_cache.rs
@@ -253,7 +253,7 @@
         capacity_share: 1.0,
         miss_capacity_scale: 1.0,
         waited: ms(0),
-        may_fetch: true,
+        allow_fetch: true,
         may_miss: false,
         draw: 3,
     }
@@ -290,7 +290,7 @@
 fn request_without_permission_to_fetch_does_not_fetch() {
     let prompt = prompt();
     let mut beyond = criteria(&prompt);
-    beyond.may_fetch = false;
+    beyond.allow_fetch = false;
     let mut all = [candidate(0, 0, 0, 0), candidate(1, 9_000, 800, 800)];
     assert_eq!(chosen(&beyond, &all), ("t1".into(), 200, None));
     all[1].load.running = 10;
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -339,7 +339,7 @@
         capacity_share: 1.0,
         miss_capacity_scale: 1.0,
         waited: Duration::ZERO,
-        may_fetch: true,
+        allow_fetch: true,
         may_miss: false,
         draw: 1,
     };
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -148,7 +148,7 @@
             // Beyond a share a request takes what comes free where its prefix is. Memory moved for it
             // crowds out other prefixes: with moves for all, callers got 0.884 of the worth they
             // asked for, and 0.895 without these (mean of five days of high load).
-            may_fetch: cover >= 1.0,
+            allow_fetch: cover >= 1.0,
             waited: now.saturating_sub(wish.arrived),
             may_miss: now >= wish.arrived + wish.objective.mul_f64(settings.patience.miss),
             capacity_share: self.room(settings, wish, cover),
