--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -83,7 +83,7 @@
     /// Time since its arrival.
     pub waited: Duration,
     /// Whether its prefix may be recomputed at an engine that does not cache it.
-    pub may_miss: bool,
+    pub allow_miss: bool,
     /// Random value that breaks ties between plain targets.
     pub draw: u64,
 }
--- a/crates/dispatch/src/placement/engine.rs
+++ b/crates/dispatch/src/placement/engine.rs
@@ -86,7 +86,7 @@
             ),
             None => plan_without_report(policy, prompt, candidate, prefix, home),
         };
-        if plan.recompute && !criteria.may_miss || plan.fetch.is_some() && !criteria.allow_fetch {
+        if plan.recompute && !criteria.allow_miss || plan.fetch.is_some() && !criteria.allow_fetch {
             continue;
         }
         let capacity_share = if plan.recompute {
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -498,7 +498,7 @@
         miss_capacity_scale: 1.0,
         waited: ms(0),
         allow_fetch: true,
-        may_miss: false,
+        allow_miss: false,
         draw: 3,
     }
 }
@@ -528,7 +528,7 @@
     all[1].load.running = 10;
     assert!(placement::choose(&policy, &criteria(Some(&prompt)), &all).is_none());
     let mut miss_allowed = criteria(Some(&prompt));
-    miss_allowed.may_miss = true;
+    miss_allowed.allow_miss = true;
     let missed = placement::choose(&policy, &miss_allowed, &all).unwrap();
     assert!(!missed.hit && missed.target.id.as_ref() != "t1");
 }
--- a/crates/dispatch/tests/prefix_cache.rs
+++ b/crates/dispatch/tests/prefix_cache.rs
@@ -254,7 +254,7 @@
         miss_capacity_scale: 1.0,
         waited: ms(0),
         allow_fetch: true,
-        may_miss: false,
+        allow_miss: false,
         draw: 3,
     }
 }
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -340,7 +340,7 @@
         miss_capacity_scale: 1.0,
         waited: Duration::ZERO,
         allow_fetch: true,
-        may_miss: false,
+        allow_miss: false,
         draw: 1,
     };
     let policy = Policy::default();
