--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -85,7 +85,7 @@
     /// Whether its prefix may be recomputed at an engine that does not cache it.
     pub allow_miss: bool,
     /// Random value that breaks ties between plain targets.
-    pub draw: u64,
+    pub tie_breaker: u64,
 }
 
 /// The selected target.
@@ -128,7 +128,7 @@
         }
         let remote_penalty = if candidate.local { 0.0 } else { 0.5 };
         let cost = (running + remote_penalty) / slots;
-        let tie = prefix::rendezvous_weight(Prefix(criteria.draw), candidate.target.tag());
+        let tie = prefix::rendezvous_weight(Prefix(criteria.tie_breaker), candidate.target.tag());
         let better = best.as_ref().is_none_or(|(best_cost, best_tie, _)| {
             cost < *best_cost || (cost <= *best_cost && tie < *best_tie)
         });
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -499,7 +499,7 @@
         waited: ms(0),
         allow_fetch: true,
         allow_miss: false,
-        draw: 3,
+        tie_breaker: 3,
     }
 }
 
--- a/crates/dispatch/tests/prefix_cache.rs
+++ b/crates/dispatch/tests/prefix_cache.rs
@@ -255,7 +255,7 @@
         waited: ms(0),
         allow_fetch: true,
         allow_miss: false,
-        draw: 3,
+        tie_breaker: 3,
     }
 }
 
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -341,7 +341,7 @@
         waited: Duration::ZERO,
         allow_fetch: true,
         allow_miss: false,
-        draw: 1,
+        tie_breaker: 1,
     };
     let policy = Policy::default();
     time(|| placement::choose(&policy, &wanted, black_box(&candidates)))
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -155,7 +155,7 @@
             // Who has had little of its share is not bound to the targets that keep its
             // prefix, where others may have taken all room.
             miss_capacity_scale: cover.max(1.0),
-            draw: wish.draw,
+            tie_breaker: wish.draw,
         };
         let policy = &settings.policy;
         let choice = together.and_then(|it| placement::choose(policy, &ask, &[it]));
