--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
     /// Largest ratio of an engine's slots that is used.
-    pub fill: f64,
+    pub max_slot_utilization: f64,
     /// Time for prefill at an engine, as a multiple of the request's objective.
     pub reading: f64,
     /// Extra cost of a token of a shared prefix that has to be recomputed, in tokens.
@@ -37,7 +37,7 @@
 impl Default for Policy {
     fn default() -> Self {
         Self {
-            fill: 0.6,
+            max_slot_utilization: 0.6,
             reading: 1.3,
             miss: 4.0,
             miss_room: 0.1,
--- a/crates/dispatch/src/placement/engine.rs
+++ b/crates/dispatch/src/placement/engine.rs
@@ -119,7 +119,7 @@
 
 /// Whether an engine has a free slot within the usable ratio of its slots.
 fn has_free_slot(policy: &Policy, candidate: &Candidate, capacity_share: f64) -> bool {
-    let slots = f64::from(candidate.target.slots) * policy.fill * capacity_share;
+    let slots = f64::from(candidate.target.slots) * policy.max_slot_utilization * capacity_share;
     f64::from(candidate.load.running) + 1.0 <= slots.max(1.0)
 }
 
--- a/crates/path/src/flags.rs
+++ b/crates/path/src/flags.rs
@@ -62,7 +62,7 @@
             "fill",
             "Part of an engine's slots that is used",
             1.0,
-            policy.fill,
+            policy.max_slot_utilization,
         ),
         figure(
             "reading",
@@ -226,7 +226,7 @@
     let value = |flag| value(&figures, &matches, flag);
     Ok(Flags {
         policy: Policy {
-            fill: value("fill"),
+            max_slot_utilization: value("fill"),
             reading: value("reading"),
             miss: value("miss"),
             miss_room: value("miss-room"),
