--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -19,7 +19,7 @@
     /// Largest ratio of an engine's slots that is used.
     pub max_slot_utilization: f64,
     /// Time for prefill at an engine, as a multiple of the request's objective.
-    pub reading: f64,
+    pub prefill_budget: f64,
     /// Extra cost of a token of a shared prefix that has to be recomputed, in tokens.
     pub miss: f64,
     /// Ratio of a target's capacity that is available to a request whose prefix is recomputed
@@ -38,7 +38,7 @@
     fn default() -> Self {
         Self {
             max_slot_utilization: 0.6,
-            reading: 1.3,
+            prefill_budget: 1.3,
             miss: 4.0,
             miss_room: 0.1,
             fetch: 300.0,
--- a/crates/dispatch/src/placement/engine.rs
+++ b/crates/dispatch/src/placement/engine.rs
@@ -69,7 +69,7 @@
         .objective
         .saturating_sub(criteria.waited)
         .as_secs_f64();
-    let budget = criteria.rate * remaining * policy.reading;
+    let budget = criteria.rate * remaining * policy.prefill_budget;
     let mut best: Option<(f64, Choice)> = None;
     for candidate in candidates {
         if !has_free_slot(policy, candidate, criteria.capacity_share) {
--- a/crates/path/src/flags.rs
+++ b/crates/path/src/flags.rs
@@ -68,7 +68,7 @@
             "reading",
             "Part of the objective for reading prompts",
             5.0,
-            policy.reading,
+            policy.prefill_budget,
         ),
         figure(
             "miss",
@@ -227,7 +227,7 @@
     Ok(Flags {
         policy: Policy {
             max_slot_utilization: value("fill"),
-            reading: value("reading"),
+            prefill_budget: value("reading"),
             miss: value("miss"),
             miss_room: value("miss-room"),
             fetch: value("fetch"),
