--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -24,7 +24,7 @@
     pub miss: f64,
     /// Ratio of a target's capacity that is available to a request whose prefix is recomputed
     /// there.
-    pub miss_room: f64,
+    pub miss_capacity_share: f64,
     /// Extra cost of a fetch from another engine's cache, as a multiple of its duration: it
     /// occupies the links and the memory of both engines.
     pub fetch: f64,
@@ -40,7 +40,7 @@
             max_slot_utilization: 0.6,
             prefill_budget: 1.3,
             miss: 4.0,
-            miss_room: 0.1,
+            miss_capacity_share: 0.1,
             fetch: 300.0,
             running: 60.0,
             queue: 2.0,
@@ -76,7 +76,7 @@
     pub fetch_seconds: Option<f64>,
     /// Ratio of the capacity that the request may use, 0 to 1.
     pub capacity_share: f64,
-    /// Factor on [`Policy::miss_room`] for this request.
+    /// Factor on [`Policy::miss_capacity_share`] for this request.
     pub miss_capacity_scale: f64,
     /// Whether cached prefixes may be fetched from other engines for it.
     pub allow_fetch: bool,
--- a/crates/dispatch/src/placement/engine.rs
+++ b/crates/dispatch/src/placement/engine.rs
@@ -90,7 +90,8 @@
             continue;
         }
         let capacity_share = if plan.recompute {
-            criteria.capacity_share * (policy.miss_room * criteria.miss_capacity_scale).min(1.0)
+            criteria.capacity_share
+                * (policy.miss_capacity_share * criteria.miss_capacity_scale).min(1.0)
         } else {
             criteria.capacity_share
         };
--- a/crates/path/src/flags.rs
+++ b/crates/path/src/flags.rs
@@ -80,7 +80,7 @@
             "miss-room",
             "Part of a target's room for a prefix read anew",
             1.0,
-            policy.miss_room,
+            policy.miss_capacity_share,
         ),
         figure(
             "fetch",
@@ -229,7 +229,7 @@
             max_slot_utilization: value("fill"),
             prefill_budget: value("reading"),
             miss: value("miss"),
-            miss_room: value("miss-room"),
+            miss_capacity_share: value("miss-room"),
             fetch: value("fetch"),
             running: value("running"),
             queue: value("plain-queue"),
