--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -21,7 +21,7 @@
     /// Time for prefill at an engine, as a multiple of the request's objective.
     pub prefill_budget: f64,
     /// Extra cost of a token of a shared prefix that has to be recomputed, in tokens.
-    pub miss: f64,
+    pub miss_weight: f64,
     /// Ratio of a target's capacity that is available to a request whose prefix is recomputed
     /// there.
     pub miss_capacity_share: f64,
@@ -39,7 +39,7 @@
         Self {
             max_slot_utilization: 0.6,
             prefill_budget: 1.3,
-            miss: 4.0,
+            miss_weight: 4.0,
             miss_capacity_share: 0.1,
             fetch: 300.0,
             running: 60.0,
--- a/crates/path/src/flags.rs
+++ b/crates/path/src/flags.rs
@@ -74,7 +74,7 @@
             "miss",
             "Weight of a prefix that is read anew",
             100.0,
-            policy.miss,
+            policy.miss_weight,
         ),
         figure(
             "miss-room",
@@ -228,7 +228,7 @@
         policy: Policy {
             max_slot_utilization: value("fill"),
             prefill_budget: value("reading"),
-            miss: value("miss"),
+            miss_weight: value("miss"),
             miss_capacity_share: value("miss-room"),
             fetch: value("fetch"),
             running: value("running"),
