--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -27,7 +27,7 @@
     pub miss_capacity_share: f64,
     /// Extra cost of a fetch from another engine's cache, as a multiple of its duration: it
     /// occupies the links and the memory of both engines.
-    pub fetch: f64,
+    pub fetch_weight: f64,
     /// Cost of each running request, in tokens.
     pub running: f64,
     /// Largest number of requests per slot at a plain target.
@@ -41,7 +41,7 @@
             prefill_budget: 1.3,
             miss_weight: 4.0,
             miss_capacity_share: 0.1,
-            fetch: 300.0,
+            fetch_weight: 300.0,
             running: 60.0,
             queue: 2.0,
         }
--- a/crates/dispatch/src/placement/engine.rs
+++ b/crates/dispatch/src/placement/engine.rs
@@ -156,7 +156,7 @@
     let fetch_cost = fetched as f64 * seconds_per_token * criteria.rate;
     Plan {
         unread: prompt.own_tokens() as f64 + missing + fetch_cost,
-        external_cost: missing * policy.miss_weight + fetch_cost * policy.fetch,
+        external_cost: missing * policy.miss_weight + fetch_cost * policy.fetch_weight,
         hit: cached >= shared || candidate.assumed_cached && missing <= 0.0,
         recompute: false,
         fetch: fetch.map(|(it, _)| it.target.clone()),
--- a/crates/path/src/flags.rs
+++ b/crates/path/src/flags.rs
@@ -86,7 +86,7 @@
             "fetch",
             "Times its length that a fetch from another engine counts",
             10_000.0,
-            policy.fetch,
+            policy.fetch_weight,
         ),
         figure(
             "running",
@@ -230,7 +230,7 @@
             prefill_budget: value("reading"),
             miss_weight: value("miss"),
             miss_capacity_share: value("miss-room"),
-            fetch: value("fetch"),
+            fetch_weight: value("fetch"),
             running: value("running"),
             queue: value("plain-queue"),
         },
