--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -29,7 +29,7 @@
     /// occupies the links and the memory of both engines.
     pub fetch_weight: f64,
     /// Cost of each running request, in tokens.
-    pub running: f64,
+    pub running_tokens: f64,
     /// Largest number of requests per slot at a plain target.
     pub queue: f64,
 }
@@ -42,7 +42,7 @@
             miss_weight: 4.0,
             miss_capacity_share: 0.1,
             fetch_weight: 300.0,
-            running: 60.0,
+            running_tokens: 60.0,
             queue: 2.0,
         }
     }
--- a/crates/dispatch/src/placement/engine.rs
+++ b/crates/dispatch/src/placement/engine.rs
@@ -103,7 +103,7 @@
         if queued + plan.unread > allowed && queued > allowed * OVERSIZED_MAX_QUEUE_RATIO {
             continue;
         }
-        let running = f64::from(candidate.load.running) * policy.running;
+        let running = f64::from(candidate.load.running) * policy.running_tokens;
         let cost = queued + plan.unread + plan.external_cost + running;
         if best.as_ref().is_none_or(|(best_cost, _)| cost < *best_cost) {
             let choice = Choice {
--- a/crates/path/src/flags.rs
+++ b/crates/path/src/flags.rs
@@ -92,7 +92,7 @@
             "running",
             "Tokens by which a running request counts",
             10_000.0,
-            policy.running,
+            policy.running_tokens,
         ),
         figure(
             "plain-queue",
@@ -231,7 +231,7 @@
             miss_weight: value("miss"),
             miss_capacity_share: value("miss-room"),
             fetch_weight: value("fetch"),
-            running: value("running"),
+            running_tokens: value("running"),
             queue: value("plain-queue"),
         },
         patience: Patience {
