--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -31,7 +31,7 @@
     /// Cost of each running request, in tokens.
     pub running_tokens: f64,
     /// Largest number of requests per slot at a plain target.
-    pub queue: f64,
+    pub plain_requests_per_slot: f64,
 }
 
 impl Default for Policy {
@@ -43,7 +43,7 @@
             miss_capacity_share: 0.1,
             fetch_weight: 300.0,
             running_tokens: 60.0,
-            queue: 2.0,
+            plain_requests_per_slot: 2.0,
         }
     }
 }
@@ -123,7 +123,7 @@
     for candidate in candidates {
         let slots = f64::from(candidate.target.slots.max(1));
         let running = f64::from(candidate.load.running);
-        if running + 1.0 > slots * policy.queue * criteria.capacity_share {
+        if running + 1.0 > slots * policy.plain_requests_per_slot * criteria.capacity_share {
             continue;
         }
         let remote_penalty = if candidate.local { 0.0 } else { 0.5 };
--- a/crates/path/src/flags.rs
+++ b/crates/path/src/flags.rs
@@ -98,7 +98,7 @@
             "plain-queue",
             "Requests at a plain target for each slot",
             10.0,
-            policy.queue,
+            policy.plain_requests_per_slot,
         ),
     ]
 }
@@ -232,7 +232,7 @@
             miss_capacity_share: value("miss-room"),
             fetch_weight: value("fetch"),
             running_tokens: value("running"),
-            queue: value("plain-queue"),
+            plain_requests_per_slot: value("plain-queue"),
         },
         patience: Patience {
             first: value("wait-first"),
