--- a/crates/dispatch/tests/prefix_cache.rs
+++ b/crates/dispatch/tests/prefix_cache.rs
@@ -169,7 +169,7 @@
     for seed in 0..40 {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let (tag, mut caches) = (Tag::new("a"), Caches::new());
-        let (mut epoch, mut cached) = (1, [0u32; 3]);
+        let (mut epoch, mut content) = (1, [0u32; 3]);
         let mut log: Vec<Entry> = Vec::new();
         let mut oldest_available = 0;
         let mut known = 0;
@@ -178,11 +178,11 @@
             for _ in 0..random.random_range(0..4) {
                 let part = random.random_range(1..3u32);
                 let tokens = [0, 300, 500][random.random_range(0..3)];
-                cached[part as usize] = tokens;
+                content[part as usize] = tokens;
                 log.push(entry(part, tokens));
             }
             if random.random_ratio(1, 40) {
-                (epoch, cached, oldest_available) = (epoch + 1, [0; 3], 0);
+                (epoch, content, oldest_available) = (epoch + 1, [0; 3], 0);
                 log.clear();
             }
             if random.random_ratio(1, 20) {
@@ -194,7 +194,9 @@
             let query = caches.next_query(tag, now);
             let next = log.len() as u64;
             let answer = match query {
-                Query::Listing => update(epoch, next, &[entry(1, cached[1]), entry(2, cached[2])]),
+                Query::Listing => {
+                    update(epoch, next, &[entry(1, content[1]), entry(2, content[2])])
+                }
                 Query::Changes { since } => {
                     let since = usize::try_from(since).unwrap();
                     let from = since.max(oldest_available).min(log.len());
@@ -205,9 +207,9 @@
             };
             caches.apply(tag, query, answer, now);
             let reference = {
-                let first = u64::from(cached[1]).min(300);
-                let second = u64::from(cached[2]).min(500);
-                first + if cached[1] >= 300 { second } else { 0 }
+                let first = u64::from(content[1]).min(300);
+                let second = u64::from(content[2]).min(500);
+                first + if content[1] >= 300 { second } else { 0 }
             };
             if let Some(matched) = caches.prefix_match(tag, &prompt(), now) {
                 known += 1;
