--- a/crates/dispatch/tests/cells.rs
+++ b/crates/dispatch/tests/cells.rs
@@ -227,7 +227,7 @@
                 held.unread += unread;
             }
             3 => {
-                usage.read_for(peer, tag, unread);
+                usage.end_prefill_for(peer, tag, unread);
                 held.unread = held.unread.saturating_sub(unread);
             }
             4..7 => {
@@ -237,7 +237,7 @@
             }
             _ => {
                 let load = Load { running: 2, unread };
-                usage.report(peer, [(tag, load)].into_iter(), now);
+                usage.apply_report(peer, [(tag, load)].into_iter(), now);
                 naive.retain(|(it, _), _| *it != peer);
                 naive.insert((peer, tag), load);
             }
@@ -259,11 +259,11 @@
         answer_tokens: 9,
         parts: vec![part(1, 300), part(2, 500), part(own, 200)],
     };
-    let (one, other) = (prompt(3).brief(), prompt(4).brief());
+    let (one, other) = (prompt(3).compact(), prompt(4).compact());
     assert_eq!(one, other);
     assert_eq!((one.shared_tokens(), one.own_tokens()), (800, 200));
     assert_eq!(one.prefix(), other.prefix());
     let mut alone = prompt(3);
     alone.parts.drain(..2);
-    assert_eq!(alone.brief().prefix(), None);
+    assert_eq!(alone.compact().prefix(), None);
 }
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -10,12 +10,12 @@
 use std::time::{Duration, Instant};
 
 use bincode::config::standard;
-use dunlinward_dispatch::cache::Held;
+use dunlinward_dispatch::cache::Match;
 use dunlinward_dispatch::cell::{self, Cell, ServiceTag};
 use dunlinward_dispatch::content::ContentTag;
 use dunlinward_dispatch::member::{Condition, Descriptor, Members};
 use dunlinward_dispatch::membership::{Kind, Packet, Update};
-use dunlinward_dispatch::placement::{self, Ask as Wanted, Candidate, Policy};
+use dunlinward_dispatch::placement::{self, Candidate, Criteria as Wanted, Policy};
 use dunlinward_dispatch::prefix::{Part, Prompt};
 use dunlinward_dispatch::reading::Reading;
 use dunlinward_dispatch::region::Region;
@@ -324,9 +324,9 @@
                 unread: u64::from(number % 7) * 1_000,
             },
             local: false,
-            keeps: number % 9 == 0,
-            held: Some(Held {
-                told: 700,
+            assumed_cached: number % 9 == 0,
+            prefix_match: Some(Match {
+                reported: 700,
                 expected: 700,
             }),
         })
@@ -336,12 +336,12 @@
         objective: Duration::from_millis(800),
         rate: 32_000.0,
         fetch_seconds: Some(2.4e-6),
-        room: 1.0,
-        miss_scale: 1.0,
+        capacity_share: 1.0,
+        miss_capacity_scale: 1.0,
         waited: Duration::ZERO,
-        may_fetch: true,
-        may_miss: false,
-        draw: 1,
+        allow_fetch: true,
+        allow_miss: false,
+        tie_breaker: 1,
     };
     let policy = Policy::default();
     time(|| placement::choose(&policy, &wanted, black_box(&candidates)))
--- a/crates/path/src/flags.rs
+++ b/crates/path/src/flags.rs
@@ -62,43 +62,43 @@
             "fill",
             "Part of an engine's slots that is used",
             1.0,
-            policy.fill,
+            policy.max_slot_utilization,
         ),
         figure(
             "reading",
             "Part of the objective for reading prompts",
             5.0,
-            policy.reading,
+            policy.prefill_budget,
         ),
         figure(
             "miss",
             "Weight of a prefix that is read anew",
             100.0,
-            policy.miss,
+            policy.miss_weight,
         ),
         figure(
             "miss-room",
             "Part of a target's room for a prefix read anew",
             1.0,
-            policy.miss_room,
+            policy.miss_capacity_share,
         ),
         figure(
             "fetch",
             "Times its length that a fetch from another engine counts",
             10_000.0,
-            policy.fetch,
+            policy.fetch_weight,
         ),
         figure(
             "running",
             "Tokens by which a running request counts",
             10_000.0,
-            policy.running,
+            policy.running_tokens,
         ),
         figure(
             "plain-queue",
             "Requests at a plain target for each slot",
             10.0,
-            policy.queue,
+            policy.plain_requests_per_slot,
         ),
     ]
 }
@@ -226,13 +226,13 @@
     let value = |flag| value(&figures, &matches, flag);
     Ok(Flags {
         policy: Policy {
-            fill: value("fill"),
-            reading: value("reading"),
-            miss: value("miss"),
-            miss_room: value("miss-room"),
-            fetch: value("fetch"),
-            running: value("running"),
-            queue: value("plain-queue"),
+            max_slot_utilization: value("fill"),
+            prefill_budget: value("reading"),
+            miss_weight: value("miss"),
+            miss_capacity_share: value("miss-room"),
+            fetch_weight: value("fetch"),
+            running_tokens: value("running"),
+            plain_requests_per_slot: value("plain-queue"),
         },
         patience: Patience {
             first: value("wait-first"),
--- a/crates/path/src/memories.rs
+++ b/crates/path/src/memories.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dunlinward_dispatch::cache::{Finding, News, Question};
+use dunlinward_dispatch::cache::{Query, Status, Update};
 use dunlinward_dispatch::region::Constraint;
 use dunlinward_dispatch::target::{Tag, Target};
 use http_body_util::{BodyExt, Full, Limited};
@@ -136,7 +136,7 @@
 
 async fn ask(node: Rc<Node>, asked: Rc<Asked>, engine: Arc<Target>, before: Pending) {
     let tag = engine.tag();
-    let question = node.state.borrow().caches.question(tag, node.now());
+    let question = node.state.borrow().caches.next_query(tag, node.now());
     let answer = exchange(&node, &engine, question).await;
     let after = match &answer {
         Ok(_) => Pending::Answered,
@@ -156,7 +156,7 @@
     asked.pending.borrow_mut().insert(tag, after);
 }
 
-async fn exchange(node: &Rc<Node>, engine: &Target, question: Question) -> Result<News, Error> {
+async fn exchange(node: &Rc<Node>, engine: &Target, question: Query) -> Result<Update, Error> {
     let tag = engine.tag();
     let kept = node.pool.take(tag, node.now());
     let mut connection = if let Some(connection) = kept {
@@ -220,7 +220,7 @@
         engines.cloned().collect()
     }
 
-    fn take_news(&self, engine: &Target, question: Question, news: News) {
+    fn take_news(&self, engine: &Target, question: Query, news: Update) {
         let (tag, now) = (engine.tag(), self.now());
         if !self.same_start(engine, news.born) {
             return;
@@ -229,14 +229,14 @@
             .state
             .borrow_mut()
             .caches
-            .take(tag, question, news, now);
+            .apply(tag, question, news, now);
         let label = match finding {
-            Finding::Current => "current",
-            Finding::Gap => "gap",
-            Finding::Restarted => "restarted",
+            Status::Current => "current",
+            Status::Gap => "gap",
+            Status::Restarted => "restarted",
         };
         self.metrics.add("memory_questions", label, 1);
-        if finding != Finding::Current {
+        if finding != Status::Current {
             let line = self.journal.line("memory_doubtful");
             let line = line.with("target", engine.id.as_ref());
             drop(line.with("finding", label));
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -110,9 +110,9 @@
     {
         let mut state = node.state.borrow_mut();
         let loads = work.loads.iter().map(|it| (it.tag, it.load));
-        state.usage.report(peer, loads, now);
+        state.usage.apply_report(peer, loads, now);
         for used in &work.uses {
-            state.memory.hear(*used, now);
+            state.memory.record_use(*used, now);
         }
         state.confirm(peer, &work.accepted, now);
         for (tag, refusal) in &work.refusals {
@@ -136,7 +136,7 @@
         };
         let now = self.now();
         if lost {
-            self.state.borrow_mut().cold.doubt(tag, now);
+            self.state.borrow_mut().cold.mark_uncertain(tag, now);
         }
         let target = self.state.borrow().registry.get(tag).cloned();
         let Some(target) = target else {
@@ -235,7 +235,7 @@
         let mut state = node.state.borrow_mut();
         let state = &mut *state;
         let mut reports: HashMap<SocketAddr, Work> = HashMap::new();
-        for (tag, load) in state.usage.all_own().filter(|(_, it)| it.running > 0) {
+        for (tag, load) in state.usage.own_loads().filter(|(_, it)| it.running > 0) {
             let Some(target) = state.registry.get(tag) else {
                 continue;
             };
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -11,7 +11,7 @@
 use dunlinward_dispatch::budget::Budget;
 use dunlinward_dispatch::cache::Caches;
 use dunlinward_dispatch::cell::Cell;
-use dunlinward_dispatch::cold::{self, Cold, Peak};
+use dunlinward_dispatch::cold_start::{self, Limiter, Peak};
 use dunlinward_dispatch::configuration::Table;
 use dunlinward_dispatch::content::ContentTag;
 use dunlinward_dispatch::evacuation::{self, Evacuations};
@@ -21,7 +21,7 @@
 use dunlinward_dispatch::interruptions::Interruptions;
 use dunlinward_dispatch::member::{Descriptor, Members};
 use dunlinward_dispatch::membership::{Change as MemberChange, Effects, Membership};
-use dunlinward_dispatch::prefix::{Memory, Prompt};
+use dunlinward_dispatch::prefix::{History, Prompt};
 use dunlinward_dispatch::quarantine::Ledger;
 use dunlinward_dispatch::reachability::Reachability;
 use dunlinward_dispatch::reading::{Reading, Readings};
@@ -115,7 +115,7 @@
     /// Failure domains whose targets get nothing.
     pub(crate) evacuations: Evacuations,
     /// Targets that bear few requests for now.
-    pub(crate) cold: Cold,
+    pub(crate) cold: Limiter,
     /// Routers that were known lately.
     peak: Peak,
     /// Readings of the list of targets.
@@ -123,7 +123,7 @@
     /// Where the store's log goes on behind that list.
     pub(crate) registry_position: Option<Position>,
     pub(crate) usage: Usage,
-    pub(crate) memory: Memory,
+    pub(crate) memory: History,
     /// What engines of this router's cells say that they keep.
     pub(crate) caches: Caches,
     pub(crate) health: Health,
@@ -181,7 +181,7 @@
             compared: false,
             store: Era::default(),
             evacuations: Evacuations::default(),
-            cold: Cold::default(),
+            cold: Limiter::default(),
             peak: Peak::default(),
             registry: Registry::new()
                 .with_cell_targets(settings.cell_targets)
@@ -189,7 +189,7 @@
             registry_reads: Readings::new(peer),
             registry_position: None,
             usage: Usage::new(),
-            memory: Memory::new(),
+            memory: History::new(),
             caches: Caches::new(),
             health: Health::new(),
             backoffs: Backoffs::default(),
@@ -221,7 +221,7 @@
     pub(crate) fn prune(&mut self, now: Duration) -> Vec<Arc<Target>> {
         self.usage.prune(now);
         self.quarantine.prune(now);
-        self.peak.note(self.members.count(), now);
+        self.peak.record(self.members.count(), now);
         self.copies.prune(now);
         self.returns.prune(now);
         self.lapse(now);
@@ -301,7 +301,7 @@
         if self.registry.read_at() == Some(list.as_of) {
             self.registry_position = list.position;
             let listed = self.registry.listed().map(AsRef::as_ref);
-            self.cold.list(listed, list.as_of);
+            self.cold.apply_list(listed, list.as_of);
         }
         changes
     }
@@ -322,7 +322,7 @@
         self.registry_position = Some(end);
         let written = delta.written.clone();
         let changes = self.registry.apply_delta(delta, as_of);
-        self.cold.renew(&written, as_of);
+        self.cold.apply_changes(&written, as_of);
         Some(changes)
     }
 
@@ -338,7 +338,7 @@
         let changes = self
             .registry
             .apply_peer_delta(told.delta, told.settled, as_of);
-        self.cold.renew(&written, as_of);
+        self.cold.apply_changes(&written, as_of);
         changes
     }
 
@@ -363,8 +363,8 @@
             let evacuation::Change::Reopened(domain) = change else {
                 continue;
             };
-            for tag in cold::of_domain(self.registry.targets(), domain) {
-                self.cold.doubt(tag, now);
+            for tag in cold_start::tags_in_domain(self.registry.targets(), domain) {
+                self.cold.mark_uncertain(tag, now);
             }
         }
         changes
@@ -379,8 +379,8 @@
 
     /// A target has ended.
     pub(crate) fn forget(&mut self, tag: Tag) {
-        self.memory.forget(tag);
-        self.caches.forget(tag);
+        self.memory.remove_target(tag);
+        self.caches.remove_target(tag);
         self.health.forget(tag);
         self.reported.forget(tag);
         self.backoffs.forget(tag);
@@ -399,7 +399,7 @@
     /// Who could not be reached may have started anew.
     fn doubt_cold(&mut self, target: &Target, outcome: Outcome, now: Duration) {
         if outcome == Outcome::Unreachable {
-            self.cold.doubt(target.tag(), now);
+            self.cold.mark_uncertain(target.tag(), now);
         }
     }
 
--- a/crates/path/src/state/candidates.rs
+++ b/crates/path/src/state/candidates.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dunlinward_dispatch::cold;
+use dunlinward_dispatch::cold_start;
 use dunlinward_dispatch::placement::Candidate;
 use dunlinward_dispatch::prefix::Prompt;
 use dunlinward_dispatch::target::Target;
@@ -41,8 +41,8 @@
                 target: target.clone(),
                 load: self.usage.total(tag),
                 local: target.domain == wish.domain,
-                keeps: prefix.is_some_and(|it| self.memory.keeps(it, tag, kept, now)),
-                held: prompt.and_then(|it| self.caches.held(tag, it, now)),
+                assumed_cached: prefix.is_some_and(|it| self.memory.is_cached(it, tag, kept, now)),
+                prefix_match: prompt.and_then(|it| self.caches.prefix_match(tag, it, now)),
             }
         });
         candidates.collect()
@@ -65,10 +65,13 @@
         let Some(rate) = rate else {
             return;
         };
-        let most = settings.cold.excess * rate + settings.cold.slack;
-        let bound = cold::Bound { rate, most };
+        let max_per_second = settings.cold.excess * rate + settings.cold.slack;
+        let bound = cold_start::Bound {
+            rate,
+            max_per_second,
+        };
         let known = self.members.count();
-        let part = cold::part(known, self.peak.most());
+        let part = cold_start::rate_share(known, self.peak.max());
         let spared = wish.failed || wish.claim == Claim::Own || now < ALONE;
         candidates.retain(|it| {
             let tag = it.target.tag();
--- a/crates/path/src/state/ended.rs
+++ b/crates/path/src/state/ended.rs
@@ -34,7 +34,7 @@
 
     /// A target has read another router's prompt.
     pub(crate) fn read_for(&mut self, peer: Peer, tag: Tag, unread: u64, now: Duration) {
-        self.usage.read_for(peer, tag, unread);
+        self.usage.end_prefill_for(peer, tag, unread);
         self.backoffs.record_running(tag, now);
     }
 
@@ -67,7 +67,7 @@
             };
             let lease = self.grants.confirm(request);
             if let Some(prefix) = lease.and_then(|it| it.prefix) {
-                self.memory.sent(prefix, now);
+                self.memory.confirm_grant(prefix, now);
             }
         }
     }
@@ -87,7 +87,7 @@
     fn undo(&mut self, end: End, now: Duration) {
         self.take_back(end.lease.charge, now);
         if let Some(prefix) = end.lease.prefix.filter(|_| !end.confirmed) {
-            self.memory.not_sent(prefix);
+            self.memory.cancel_grant(prefix);
         }
     }
 
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dunlinward_dispatch::grants::{self, Request};
-use dunlinward_dispatch::placement::{self, Ask, Choice};
+use dunlinward_dispatch::placement::{self, Choice, Criteria};
 use dunlinward_dispatch::prefix::{self, Prompt, Use};
 use dunlinward_dispatch::report::{Content, CustomerTag, Grant, Wait};
 use dunlinward_dispatch::share::{Charge, Standing};
@@ -136,11 +136,11 @@
         #[expect(clippy::cast_precision_loss, reason = "a few hundred targets")]
         let rate = table.limits().tokens_per_second / self.engines_seen.max(1) as f64;
         let engine = table.service(&service).and_then(|it| it.engine);
-        let kept = prefix::kept(engine.map_or(0, |it| it.memory_tokens), rate);
+        let kept = prefix::retention(engine.map_or(0, |it| it.memory_tokens), rate);
         let mut candidates = self.candidates(wish, kept, now);
         self.spare_cold(settings, wish, &service, &mut candidates, now);
         let together = self.together(wish, &candidates);
-        let ask = Ask {
+        let ask = Criteria {
             prompt,
             objective: wish.objective,
             rate,
@@ -148,14 +148,14 @@
             // Beyond a share a request takes what comes free where its prefix is. Memory moved for it
             // crowds out other prefixes: with moves for all, callers got 0.884 of the worth they
             // asked for, and 0.895 without these (mean of five days of high load).
-            may_fetch: cover >= 1.0,
+            allow_fetch: cover >= 1.0,
             waited: now.saturating_sub(wish.arrived),
-            may_miss: now >= wish.arrived + wish.objective.mul_f64(settings.patience.miss),
-            room: self.room(settings, wish, cover),
+            allow_miss: now >= wish.arrived + wish.objective.mul_f64(settings.patience.miss),
+            capacity_share: self.room(settings, wish, cover),
             // Who has had little of its share is not bound to the targets that keep its
             // prefix, where others may have taken all room.
-            miss_scale: cover.max(1.0),
-            draw: wish.draw,
+            miss_capacity_scale: cover.max(1.0),
+            tie_breaker: wish.draw,
         };
         let policy = &settings.policy;
         let choice = together.and_then(|it| placement::choose(policy, &ask, &[it]));
@@ -194,13 +194,13 @@
     ) -> Place {
         let tag = choice.target.tag();
         self.usage.begin(tag, choice.unread);
-        self.cold.note(tag, now);
+        self.cold.record_request(tag, now);
         self.backoffs.record_sent(tag, now);
         if let Some(prompt) = wish.prompt.as_deref() {
-            self.caches.sent(tag, prompt, now);
+            self.caches.record_sent(tag, prompt, now);
         }
         if let Some(prefix) = wish.prompt.as_deref().and_then(Prompt::prefix) {
-            self.memory.note(prefix, tag, now);
+            self.memory.record_sent(prefix, tag, now);
         }
         if let Some(content) = wish.content {
             self.copies.begin(content, tag, now);
@@ -230,15 +230,15 @@
         let Asker { peer, number, .. } = asker;
         let tag = choice.target.tag();
         self.usage.begin_for(peer, tag, choice.unread, now);
-        self.cold.note(tag, now);
+        self.cold.record_request(tag, now);
         self.backoffs.record_sent(tag, now);
         if let Some(prompt) = wish.prompt.as_deref() {
-            self.caches.sent(tag, prompt, now);
+            self.caches.record_sent(tag, prompt, now);
         }
         let prefix = wish.prompt.as_deref().and_then(Prompt::prefix);
         let prefix = prefix.map(|it| Use::new(it, tag));
         if let Some(prefix) = prefix {
-            self.memory.expect(prefix);
+            self.memory.record_grant(prefix);
         }
         if let Some(content) = wish.content {
             self.copies.begin(content, tag, now);
@@ -276,7 +276,7 @@
     pub(crate) fn take_place(&mut self, wish: &Wish, grant: &Grant, now: Duration) {
         self.usage.begin(grant.tag, grant.unread);
         if let Some(prefix) = wish.prompt.as_deref().and_then(Prompt::prefix) {
-            self.memory.note(prefix, grant.tag, now);
+            self.memory.record_sent(prefix, grant.tag, now);
         }
     }
 
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -355,7 +355,7 @@
     fn read(&mut self, number: u64, grant: Grant, now: Duration) {
         let customer = self.requests[&number].customer;
         *self.begun.entry((customer, now.as_secs())).or_default() += PROMPT;
-        self.usage(number).read(grant.tag, grant.unread);
+        self.usage(number).end_prefill(grant.tag, grant.unread);
         let peer = self.peer(number);
         self.owner.read_for(peer, grant.tag, grant.unread, now);
         let returned = Return {
@@ -383,7 +383,7 @@
             self.owner.confirm(peer, &[number], now);
         }
         for (peer, usage) in (0..).map(Peer).zip(&self.usages) {
-            self.owner.usage.report(peer, usage.all_own(), now);
+            self.owner.usage.apply_report(peer, usage.own_loads(), now);
         }
         self.owner.lapse(now);
         self.room_came(now);
@@ -546,7 +546,7 @@
     let now = Duration::from_millis(10);
     let keeps = |fleet: &Fleet, tag| {
         let kept = Duration::from_secs(5);
-        fleet.owner.memory.keeps(prefix, tag, kept, now)
+        fleet.owner.memory.is_cached(prefix, tag, kept, now)
     };
     let tags = [1, 2, 3].map(|number| give(&mut fleet, number));
     assert!(tags.iter().all(|it| *it == tags[0]), "its home");
