--- a/crates/dispatch/src/share.rs
+++ b/crates/dispatch/src/share.rs
@@ -1,15 +1,16 @@
-//! What each customer has used and may use.
+//! Token usage and fair share of each customer.
 //!
-//! Customers share the engines' tokens by max-min over a sliding window: who
-//! asks for less than an even share gets it all, the others get the same. Each
-//! router adds up what was asked and granted at itself and tells its peers, so
-//! that the level is that of the fleet. How much there is to share is observed:
-//! it is what was granted while more was asked for. A request within its customer's share
-//! goes before one beyond it; one beyond it may use less room the further beyond it is.
+//! The capacity of the engines, in tokens, is shared between customers by max-min fairness over a
+//! sliding window: customers that ask for less than an even share get all of it, the others get
+//! the same amount each, the *level*. Each router sums the tokens asked for and granted locally
+//! and reports them to its peers, so that the level is that of the whole fleet. The capacity is
+//! observed: it is the number of tokens granted while more were asked for. Requests within the
+//! share of their customer take precedence over requests beyond it; the latter may use less room
+//! the further they are beyond the share.
 //!
-//! A customer is charged when a place is given, as the next request is decided on with it, and the
-//! charge is taken back when the place turns out not to be used. Otherwise a customer whose router
-//! is late counts as over its share while others get more than theirs.
+//! A customer is charged when a place is granted, because the decision on the next request depends
+//! on it, and the charge is refunded when the place turns out not to be used. Without the refund, a
+//! customer whose router is slow would count as over its share while others get more than theirs.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -22,20 +23,20 @@
 use crate::report::{CustomerTag, CustomerUse};
 use crate::usage::{PEER_TIMEOUT, Peer};
 
-/// Parts into which the window is cut.
-const PARTS: usize = 8;
+/// Number of parts into which the window is divided.
+const WINDOW_PARTS: usize = 8;
 
-/// How long a computed level is used.
-const LEVEL_TIME: Duration = Duration::from_millis(50);
+/// Age up to which a computed level is reused.
+const LEVEL_MAX_AGE: Duration = Duration::from_millis(50);
 
-/// There is contention if more than this part of what was granted could not be.
-const CONTENTION: u64 = 10;
+/// There is contention if demand exceeds the granted tokens by more than one part in this many.
+const CONTENTION_DIVISOR: u64 = 10;
 
-/// A customer is told of that was granted more than one part in so many.
-const TOLD_PART: u64 = 64;
+/// A customer is reported if it was granted more than one part in this many of all granted tokens.
+const REPORTED_DIVISOR: u64 = 64;
 
-/// Weight of a generated token against one that is read, from the platform's pages.
-const GENERATED_WEIGHT: u64 = 2;
+/// Weight of a generated token relative to a prompt token, as the platform specifies it.
+const GENERATED_TOKEN_WEIGHT: u64 = 2;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Tokens {
@@ -50,15 +51,18 @@
     }
 }
 
+/// Tokens of one customer at this router, by part of the window.
 #[derive(Clone, Debug, Default)]
 struct Account {
-    parts: [Tokens; PARTS],
+    parts: [Tokens; WINDOW_PARTS],
+    /// Number of the newest window part.
     newest: u64,
 }
 
 impl Account {
+    /// Advances the window to a part and returns it.
     fn part(&mut self, number: u64) -> &mut Tokens {
-        let steps = number.saturating_sub(self.newest).min(PARTS as u64);
+        let steps = number.saturating_sub(self.newest).min(WINDOW_PARTS as u64);
         for step in 0..steps {
             self.parts[index(number - step)] = Tokens::default();
         }
@@ -66,10 +70,10 @@
         &mut self.parts[index(number)]
     }
 
-    /// Takes back what was charged, unless that has left the window.
-    fn take_back(&mut self, charge: Charge, number: u64) {
+    /// Refunds a charge, unless it has left the window.
+    fn refund(&mut self, charge: Charge, number: u64) {
         self.part(number);
-        if self.newest.saturating_sub(charge.part) < PARTS as u64 {
+        if self.newest.saturating_sub(charge.part) < WINDOW_PARTS as u64 {
             let part = &mut self.parts[index(charge.part)];
             part.granted = part.granted.saturating_sub(charge.tokens);
         }
@@ -86,63 +90,64 @@
 
 #[expect(clippy::cast_possible_truncation, reason = "the remainder is small")]
 fn index(number: u64) -> usize {
-    (number % PARTS as u64) as usize
+    (number % WINDOW_PARTS as u64) as usize
 }
 
 #[derive(Clone, Debug, Default)]
-struct PeerUse {
+struct PeerUsage {
+    /// When it was received.
     at: Duration,
     customers: HashMap<CustomerTag, Tokens>,
 }
 
-/// What a customer was charged for one place.
+/// Tokens charged to a customer for one place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Charge {
-    /// The customer.
+    /// Customer that is charged.
     pub customer: CustomerTag,
-    /// Tokens.
+    /// Number of tokens.
     pub tokens: u64,
-    /// Part of the window in which it was charged.
+    /// Number of the window part in which it was charged.
     part: u64,
 }
 
-/// How a customer stands.
+/// Usage of a customer and its limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Standing {
-    /// Tokens that all routers granted it within the window.
+    /// Tokens granted to it by all routers within the window.
     pub granted: u64,
-    /// Tokens that each customer may have; none while all get what they ask.
+    /// Tokens that each customer may use; `None` while all demand is met.
     pub level: Option<u64>,
 }
 
-/// Accounts of all customers.
+/// Token accounts of all customers.
 #[derive(Clone, Debug)]
 pub struct Shares {
     window: Duration,
     own: HashMap<CustomerTag, Account>,
-    peers: HashMap<Peer, PeerUse>,
+    peers: HashMap<Peer, PeerUsage>,
     level: Option<u64>,
     level_at: Option<Duration>,
 }
 
-/// The short name of a customer.
+/// Tag of a customer: the low half of the hash of its name.
 #[must_use]
 #[expect(
     clippy::cast_possible_truncation,
-    reason = "a short name is the low half of the hash"
+    reason = "a tag is the low half of the hash"
 )]
 pub fn tag(customer: &Arc<str>) -> CustomerTag {
     CustomerTag(xxh64(customer.as_bytes(), 0) as u32)
 }
 
-/// Tokens for which a request is charged: its whole prompt once, generated ones twice.
+/// Tokens charged for a request: all prompt tokens once, generated tokens twice.
 #[must_use]
 pub fn cost(prompt: &Prompt) -> u64 {
-    prompt.tokens + GENERATED_WEIGHT * prompt.answer_tokens
+    prompt.tokens + GENERATED_TOKEN_WEIGHT * prompt.answer_tokens
 }
 
 impl Shares {
-    /// No tokens asked for yet; `window` is the time over which shares hold.
+    /// Creates empty accounts; `window` is the period over which tokens are shared.
     #[must_use]
     pub fn new(window: Duration) -> Self {
         Self {
@@ -154,19 +159,20 @@
         }
     }
 
+    /// Number of the window part at `now`.
     #[expect(clippy::cast_possible_truncation, reason = "milliseconds of uptime")]
     fn number(&self, now: Duration) -> u64 {
-        let part = (self.window.as_millis() as u64 / PARTS as u64).max(1);
-        now.as_millis() as u64 / part + PARTS as u64
+        let part = (self.window.as_millis() as u64 / WINDOW_PARTS as u64).max(1);
+        now.as_millis() as u64 / part + WINDOW_PARTS as u64
     }
 
-    /// A customer asks for tokens.
+    /// Records the demand of a customer, in tokens.
     pub fn ask(&mut self, customer: CustomerTag, tokens: u64, now: Duration) {
         let number = self.number(now);
         self.own.entry(customer).or_default().part(number).asked += tokens;
     }
 
-    /// A customer's request is given a place.
+    /// Charges a customer for a place granted to one of its requests.
     pub fn grant(&mut self, customer: CustomerTag, tokens: u64, now: Duration) -> Charge {
         let part = self.number(now);
         self.own.entry(customer).or_default().part(part).granted += tokens;
@@ -177,16 +183,16 @@
         }
     }
 
-    /// A place that was given is not used.
+    /// Refunds the charge for a place that is not used.
     pub fn take_back(&mut self, charge: Charge, now: Duration) {
         let number = self.number(now);
         if let Some(account) = self.own.get_mut(&charge.customer) {
-            account.take_back(charge, number);
+            account.refund(charge, number);
         }
     }
 
-    /// What this router reports: customers that did not get all they asked for, and large
-    /// ones. The level doesn't change with small ones that get all that they ask for.
+    /// Usage to report to peers: customers that were granted less than they asked for, and large
+    /// ones. Small customers whose demand is met are left out, as they don't affect the level.
     pub fn report(&mut self, now: Duration) -> Vec<CustomerUse> {
         let number = self.number(now);
         let mut uses: Vec<_> = self
@@ -202,12 +208,13 @@
             })
             .collect();
         let total: u64 = uses.iter().map(|it| it.granted).sum();
-        let matters = |it: &CustomerUse| it.asked > it.granted || it.granted * TOLD_PART > total;
-        uses.retain(|it| it.asked > 0 && matters(it));
+        let is_reported =
+            |it: &CustomerUse| it.asked > it.granted || it.granted * REPORTED_DIVISOR > total;
+        uses.retain(|it| it.asked > 0 && is_reported(it));
         uses
     }
 
-    /// Takes a peer's report.
+    /// Records the usage that a peer reported, which replaces its previous report.
     pub fn hear(&mut self, peer: Peer, uses: &[CustomerUse], now: Duration) {
         let customers = uses.iter().map(|it| {
             let tokens = Tokens {
@@ -217,11 +224,11 @@
             (it.tag, tokens)
         });
         let customers = customers.collect();
-        self.peers.insert(peer, PeerUse { at: now, customers });
+        self.peers.insert(peer, PeerUsage { at: now, customers });
     }
 
-    /// A customer's share against what it would have used with `tokens` more: 1 or more
-    /// within its share, less beyond it.
+    /// Ratio of a customer's share to its usage including `tokens` more: 1 or more within its
+    /// share, less beyond it.
     pub fn cover(&mut self, customer: CustomerTag, tokens: u64, now: Duration) -> f64 {
         self.refresh(now);
         let Some(level) = self.level else {
@@ -232,34 +239,35 @@
             clippy::cast_precision_loss,
             reason = "token counts are far below 2^52"
         )]
-        let cover = level as f64 / used.max(1) as f64;
-        cover
+        let ratio = level as f64 / used.max(1) as f64;
+        ratio
     }
 
+    /// Recomputes the level if it is out of date, and drops peers that timed out.
     fn refresh(&mut self, now: Duration) {
-        let fresh = |at: Duration| now.saturating_sub(at) < LEVEL_TIME;
-        if self.level_at.is_some_and(fresh) {
+        let is_fresh = |at: Duration| now.saturating_sub(at) < LEVEL_MAX_AGE;
+        if self.level_at.is_some_and(is_fresh) {
             return;
         }
         self.peers
             .retain(|_, it| now.saturating_sub(it.at) < PEER_TIMEOUT);
-        self.level = self.current_level(now);
+        self.level = self.fleet_level(now);
         self.level_at = Some(now);
     }
 
-    /// What was granted to all is what targets could do while more was asked for.
-    fn current_level(&mut self, now: Duration) -> Option<u64> {
-        let all = self.all(now);
+    /// Level of the fleet; the tokens granted while more were asked for are its capacity.
+    fn fleet_level(&mut self, now: Duration) -> Option<u64> {
+        let all = self.fleet_totals(now);
         let granted: u64 = all.iter().map(|it| it.granted).sum();
         let asked: u64 = all.iter().map(|it| it.asked).sum();
-        // Where nothing was granted yet, nothing is known of what there is to share.
-        if granted == 0 || asked <= granted + granted / CONTENTION {
+        // Without any grant, the capacity is unknown.
+        if granted == 0 || asked <= granted + granted / CONTENTION_DIVISOR {
             return None;
         }
         level(all.into_iter().map(|it| it.asked).collect(), granted)
     }
 
-    /// How a customer stands.
+    /// Current usage and limit of a customer.
     pub fn standing(&mut self, customer: CustomerTag, now: Duration) -> Standing {
         Standing {
             granted: self.granted(customer, now),
@@ -267,7 +275,7 @@
         }
     }
 
-    /// Tokens that all routers granted to a customer within the window.
+    /// Tokens granted to a customer by all routers within the window.
     pub fn granted(&mut self, customer: CustomerTag, now: Duration) -> u64 {
         let number = self.number(now);
         let own = self
@@ -281,7 +289,8 @@
         own + peers.map(|it| it.granted).sum::<u64>()
     }
 
-    fn all(&mut self, now: Duration) -> Vec<Tokens> {
+    /// Sums of each customer over all routers.
+    fn fleet_totals(&mut self, now: Duration) -> Vec<Tokens> {
         let number = self.number(now);
         let mut all: HashMap<CustomerTag, Tokens> = HashMap::new();
         for (tag, account) in &mut self.own {
@@ -294,18 +303,18 @@
     }
 }
 
-/// The largest amount that each may have, or none where all demands fit together.
+/// Max-min fair level: the most that each may have, or `None` if all demands fit the capacity.
 #[must_use]
 pub fn level(mut demands: Vec<u64>, capacity: u64) -> Option<u64> {
     demands.sort_unstable();
-    let mut rest = capacity;
+    let mut remaining = capacity;
     let count = demands.len();
-    for (done, demand) in demands.into_iter().enumerate() {
-        let even = rest / (count - done) as u64;
-        if demand > even {
-            return Some(even);
+    for (served, demand) in demands.into_iter().enumerate() {
+        let even_share = remaining / (count - served) as u64;
+        if demand > even_share {
+            return Some(even_share);
         }
-        rest -= demand;
+        remaining -= demand;
     }
     None
 }
