--- a/crates/dispatch/src/grants.rs
+++ b/crates/dispatch/src/grants.rs
@@ -1,10 +1,10 @@
-//! Places that an owner has given to other routers, and what becomes of them.
+//! Places granted to other routers, as leases.
 //!
-//! A place that is given is a lease. The router that asked confirms it with its next report, or
-//! says that it does not use it: the place came after the request had been refused, its target is
-//! not known there, or the target has not run the request. A lease of which nothing is heard
-//! lapses, as that word may be lost. Whatever ends a lease ends it once, however often it is said,
-//! and a request that is put twice gets the same place.
+//! A place is room for one request at a target. The router that asked for it confirms the lease
+//! with its next report, or declines the place: the place was granted after the request had been
+//! refused, its target is unknown to that router, or the target has not run the request. A lease
+//! that is neither confirmed nor declined expires, because such a message may be lost. A lease ends
+//! once, however often its end is reported, and a request that is sent twice gets the same place.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,27 +15,27 @@
 use crate::share::Charge;
 use crate::usage::{PEER_TIMEOUT, Peer};
 
-/// Time within which a lease must be confirmed: after that long a silent router has no work any
-/// more. A router confirms within 0.3 s, and once more after 0.6 s.
+/// Time within which a lease must be confirmed: a router that is silent for that long counts as
+/// having no work. A router confirms within 0.3 s, and once more after 0.6 s.
 pub const LEASE: Duration = PEER_TIMEOUT;
 
-/// Identity of a request for a place among those of all routers.
+/// Identity of a request for a place, unique among all routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Request {
-    /// The router that asks.
+    /// Router that asks.
     pub peer: Peer,
-    /// Number of the request there.
+    /// Number of the request at that router.
     pub number: u64,
 }
 
 /// Why a place is not used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Reason {
-    /// The router that asked did not take it.
+    /// The router that asked declined it.
     Withdrawn,
-    /// It was taken, and the target has not run the request.
+    /// It was used, but the target has not run the request.
     NotRun,
-    /// It was not confirmed.
+    /// It was not confirmed in time.
     Lapsed,
 }
 
@@ -51,46 +51,46 @@
     }
 }
 
-/// Places that one router did not use for one customer.
+/// Places granted to one router for one customer and not used, for one reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unused {
-    /// The router that asked for them.
+    /// Router that asked for them.
     pub peer: Peer,
-    /// The customer.
+    /// Customer that was charged for them.
     pub customer: CustomerTag,
-    /// Why.
+    /// Why they were not used.
     pub reason: Reason,
-    /// How many.
+    /// Number of places.
     pub places: u64,
-    /// Tokens for which the customer had been charged.
+    /// Tokens that the customer had been charged.
     pub tokens: u64,
 }
 
-/// A place that was given.
+/// A place granted to another router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// The place.
+    /// Place that was granted.
     pub grant: Grant,
-    /// What its customer was charged.
+    /// Charge to its customer, if it has one.
     pub charge: Option<Charge>,
-    /// The prefix that is sent to its target, if the request has one.
+    /// Prefix that is sent to the target, if the request has one.
     pub prefix: Option<Use>,
-    /// What the request asks, if it was told.
+    /// Content of the request, if it is known.
     pub content: Option<ContentTag>,
 }
 
-/// How a lease ended.
+/// End of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct End {
-    /// The lease.
+    /// Lease that ended.
     pub lease: Lease,
     /// Whether it had been confirmed, so that the request was sent to the target.
     pub confirmed: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Condition {
-    Given,
+enum State {
+    Granted,
     Confirmed,
     Ended,
 }
@@ -98,75 +98,76 @@
 #[derive(Clone, Debug)]
 struct Entry {
     lease: Lease,
-    at: Duration,
-    condition: Condition,
+    granted_at: Duration,
+    state: State,
 }
 
-/// Places given to other routers lately.
+/// Places recently granted to other routers.
 #[derive(Clone, Debug)]
 pub struct Grants {
-    kept: Duration,
+    retention: Duration,
     entries: HashMap<Request, Entry>,
     unused: HashMap<(CustomerTag, Peer, Reason), Unused>,
 }
 
 impl Grants {
-    /// None given yet; each is remembered for `kept`, the time for which charges count.
+    /// Creates an empty table; entries are retained for `retention`, the time for which charges
+    /// count.
     #[must_use]
-    pub fn new(kept: Duration) -> Self {
+    pub fn new(retention: Duration) -> Self {
         Self {
-            kept,
+            retention,
             entries: HashMap::new(),
             unused: HashMap::new(),
         }
     }
 
-    /// Notes a place that is given.
+    /// Records a place that is granted.
     pub fn give(&mut self, request: Request, lease: Lease, now: Duration) {
         let entry = Entry {
             lease,
-            at: now,
-            condition: Condition::Given,
+            granted_at: now,
+            state: State::Granted,
         };
         self.entries.insert(request, entry);
     }
 
-    /// The place that a request was given.
+    /// Place that was granted to a request.
     #[must_use]
     pub fn find(&self, request: Request) -> Option<Grant> {
         self.entries.get(&request).map(|it| it.lease.grant)
     }
 
-    /// A router uses a place that it was given; the lease, if this is the first word of it.
+    /// Confirms that a place is used; returns the lease at the first confirmation only.
     pub fn confirm(&mut self, request: Request) -> Option<Lease> {
         let entry = self.entries.get_mut(&request)?;
-        if entry.condition != Condition::Given {
+        if entry.state != State::Granted {
             return None;
         }
-        entry.condition = Condition::Confirmed;
+        entry.state = State::Confirmed;
         Some(entry.lease)
     }
 
-    /// A router does not use a place; none if this is not the first word of its end.
+    /// Ends the lease of a place that is not used; `None` if it is unknown or has ended before.
     pub fn end(&mut self, request: Request, reason: Reason) -> Option<End> {
         let entry = self.entries.get_mut(&request)?;
-        let before = std::mem::replace(&mut entry.condition, Condition::Ended);
-        if before == Condition::Ended {
+        let previous = std::mem::replace(&mut entry.state, State::Ended);
+        if previous == State::Ended {
             return None;
         }
         let lease = entry.lease;
         if let Some(charge) = lease.charge {
-            self.note_unused(request.peer, charge, reason);
+            self.record_unused(request.peer, charge, reason);
         }
         Some(End {
             lease,
-            confirmed: before == Condition::Confirmed,
+            confirmed: previous == State::Confirmed,
         })
     }
 
-    fn note_unused(&mut self, peer: Peer, charge: Charge, reason: Reason) {
+    fn record_unused(&mut self, peer: Peer, charge: Charge, reason: Reason) {
         let customer = charge.customer;
-        let none = Unused {
+        let empty = Unused {
             peer,
             customer,
             reason,
@@ -174,26 +175,26 @@
             tokens: 0,
         };
         let key = (customer, peer, reason);
-        let unused = self.unused.entry(key).or_insert(none);
+        let unused = self.unused.entry(key).or_insert(empty);
         unused.places += 1;
         unused.tokens += charge.tokens;
     }
 
-    /// Ends leases that were not confirmed in time, and forgets those of which no word can come
+    /// Ends leases that were not confirmed in time, and removes those that no message can refer to
     /// any more.
     pub fn lapse(&mut self, now: Duration) -> Vec<End> {
-        let kept = self.kept;
+        let retention = self.retention;
         self.entries
-            .retain(|_, it| now.saturating_sub(it.at) < kept);
-        let late =
-            |it: &Entry| it.condition == Condition::Given && now.saturating_sub(it.at) >= LEASE;
-        let lapsed = self.entries.iter().filter(|(_, it)| late(it));
-        let lapsed: Vec<_> = lapsed.map(|(request, _)| *request).collect();
-        let ends = lapsed.into_iter();
+            .retain(|_, it| now.saturating_sub(it.granted_at) < retention);
+        let is_late =
+            |it: &Entry| it.state == State::Granted && now.saturating_sub(it.granted_at) >= LEASE;
+        let expired = self.entries.iter().filter(|(_, it)| is_late(it));
+        let expired: Vec<_> = expired.map(|(request, _)| *request).collect();
+        let ends = expired.into_iter();
         ends.filter_map(|it| self.end(it, Reason::Lapsed)).collect()
     }
 
-    /// What was not used since the last call, most tokens first.
+    /// Removes and returns the unused places recorded since the last call, most tokens first.
     pub fn take_unused(&mut self) -> Vec<Unused> {
         let mut unused: Vec<_> = self.unused.drain().map(|(_, it)| it).collect();
         unused.sort_by_key(|it| {
