--- a/crates/dispatch/src/tries.rs
+++ b/crates/dispatch/src/tries.rs
@@ -1,107 +1,108 @@
-//! Which requests are a caller's first try.
+//! Distinguishes first attempts of clients from retries, by the timeouts that they send.
 //!
-//! Callers of one kind give every first try the same time, and a later try what is left of it. So
-//! a time that comes often on a route is that of first tries, and a shorter one that is nearly
-//! unique is what is left. The route's own limit is no measure: operators change it, and callers
-//! don't follow. Until enough is seen, a request whose time is clearly shorter than its route's
-//! limit is taken for a later try. Where each caller has a time of its own, times tell nothing, and
-//! all are taken for first tries here.
+//! Clients of one kind send every first attempt with the same timeout, and a retry with what is
+//! left of it. So a timeout that is frequent on a route is that of first attempts, and a shorter,
+//! nearly unique one is a remainder. The limit of the route is not used as the reference, because
+//! operators change it and clients don't follow. Until a route has enough samples, a request whose
+//! timeout is clearly shorter than the limit of the route counts as a retry. Where each client has
+//! a timeout of its own, timeouts carry no information, and all requests count as first attempts
+//! here.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A time counts as that of first tries if one request in so many brings it. What is left of a
-/// later try is spread over tens of milliseconds, each below one in twenty.
-const OFTEN: u32 = 10;
+/// A timeout counts as frequent if at least one request in this many carries it. The remainders
+/// sent with retries are spread over tens of milliseconds, each below one request in twenty.
+const FREQUENT_DIVISOR: u32 = 10;
 
-/// Requests of a route that must have been seen.
-const ENOUGH: u32 = 20;
+/// Number of requests of a route that are needed to tell retries by frequency.
+const MIN_SAMPLES: u32 = 20;
 
-/// Requests after which all counts are halved, so that new habits replace old ones.
-const MOST: u32 = 400;
+/// Number of requests after which all counts are halved, so that new timeouts replace old ones.
+const MAX_SAMPLES: u32 = 400;
 
-/// How much shorter than the limit the time of a later try is at least: a first try loses less on
-/// its way.
-const MARGIN: Duration = Duration::from_millis(50);
+/// Least difference between the limit of a route and the timeout of a retry: a first attempt loses
+/// less than that in transit.
+const RETRY_MARGIN: Duration = Duration::from_millis(50);
 
+/// Frequency of timeouts on one route.
 #[derive(Clone, Debug, Default)]
-struct Times {
-    /// How often each time came, in milliseconds.
+struct Timeouts {
+    /// Number of requests by timeout in milliseconds.
     counts: HashMap<u64, u32>,
-    seen: u32,
+    samples: u32,
 }
 
-impl Times {
-    fn note(&mut self, time: u64) {
-        *self.counts.entry(time).or_default() += 1;
-        self.seen += 1;
-        if self.seen < MOST {
+impl Timeouts {
+    fn record(&mut self, timeout: u64) {
+        *self.counts.entry(timeout).or_default() += 1;
+        self.samples += 1;
+        if self.samples < MAX_SAMPLES {
             return;
         }
         self.counts.retain(|_, count| {
             *count /= 2;
             *count > 0
         });
-        self.seen = self.counts.values().sum();
+        self.samples = self.counts.values().sum();
     }
 
-    /// The longest time that comes often, if enough was seen.
-    fn usual(&self) -> Option<u64> {
-        if self.seen < ENOUGH {
+    /// The longest frequent timeout, in milliseconds; `None` if there are too few samples.
+    fn longest_frequent(&self) -> Option<u64> {
+        if self.samples < MIN_SAMPLES {
             return None;
         }
-        let often = |count: u32| count * OFTEN >= self.seen;
-        let usual = self.counts.iter().filter(|(_, count)| often(**count));
-        usual.map(|(time, _)| *time).max()
+        let is_frequent = |count: u32| count * FREQUENT_DIVISOR >= self.samples;
+        let frequent = self.counts.iter().filter(|(_, count)| is_frequent(**count));
+        frequent.map(|(timeout, _)| *timeout).max()
     }
 
-    /// Whether first tries come with times of their own, so that a shorter one says nothing: less than
-    /// half of all are close to the longest.
+    /// Whether first attempts have varying timeouts, so that a shorter one doesn't mark a retry:
+    /// less than half of all requests are close to the longest timeout.
     #[expect(clippy::cast_possible_truncation, reason = "a small constant")]
-    fn spread(&self) -> bool {
+    fn is_spread(&self) -> bool {
         let longest = self.counts.keys().max().copied().unwrap_or_default();
-        let close = longest.saturating_sub(MARGIN.as_millis() as u64);
-        let near = self.counts.iter().filter(|(time, _)| **time >= close);
+        let close = longest.saturating_sub(RETRY_MARGIN.as_millis() as u64);
+        let near = self.counts.iter().filter(|(timeout, _)| **timeout >= close);
         let near: u32 = near.map(|(_, count)| *count).sum();
-        near * 2 < self.seen
+        near * 2 < self.samples
     }
 
-    fn is_usual(&self, time: u64) -> bool {
-        let count = self.counts.get(&time).copied().unwrap_or_default();
-        count * OFTEN >= self.seen
+    fn is_frequent(&self, timeout: u64) -> bool {
+        let count = self.counts.get(&timeout).copied().unwrap_or_default();
+        count * FREQUENT_DIVISOR >= self.samples
     }
 }
 
-/// Times that callers give, by route.
+/// Timeouts that clients send, by route.
 #[derive(Clone, Debug, Default)]
 pub struct Tries {
-    by_route: HashMap<Arc<str>, Times>,
+    by_route: HashMap<Arc<str>, Timeouts>,
 }
 
 impl Tries {
-    /// No request seen yet.
+    /// Creates an empty record.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes a request whose caller will wait for `time`, on a route with this `limit`; true if it
-    /// is a later try of its caller.
+    /// Records a request with a `timeout` on a route with a `limit`; returns whether it is a retry.
     #[expect(clippy::cast_possible_truncation, reason = "milliseconds of a request")]
-    pub fn later(&mut self, route: &Arc<str>, time: Duration, limit: Duration) -> bool {
-        let milliseconds = time.as_millis() as u64;
-        let times = self.by_route.entry(route.clone()).or_default();
-        times.note(milliseconds);
-        match times.usual() {
-            Some(usual) => milliseconds < usual && !times.is_usual(milliseconds),
-            // Who puts a request to an owner again is known there (`crate::returns`).
-            None if times.spread() => false,
-            None => time + MARGIN < limit,
+    pub fn later(&mut self, route: &Arc<str>, timeout: Duration, limit: Duration) -> bool {
+        let milliseconds = timeout.as_millis() as u64;
+        let timeouts = self.by_route.entry(route.clone()).or_default();
+        timeouts.record(milliseconds);
+        match timeouts.longest_frequent() {
+            Some(longest) => milliseconds < longest && !timeouts.is_frequent(milliseconds),
+            // Owners recognize requests that are sent to them again (`crate::returns`).
+            None if timeouts.is_spread() => false,
+            None => timeout + RETRY_MARGIN < limit,
         }
     }
 
-    /// Forgets routes that are no longer served.
+    /// Removes routes that are no longer served.
     pub fn retain(&mut self, served: impl Fn(&str) -> bool) {
         self.by_route.retain(|route, _| served(route));
     }
