--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -1,25 +1,25 @@
-//! How often requests may be sent once more.
+//! Budget for sending requests again.
 //!
-//! The bound is on all routers together: over any window, sends beyond the first
-//! stay below a ratio of the requests plus a fixed slack. Each router keeps to
-//! its own part: the ratio of its own requests, and an equal part of the slack.
-//! The parts add up to less than the whole, so the bound needs no word between
-//! routers. [`SAFETY`] leaves room for windows that begin in the middle and for
-//! routers that restart and count anew.
+//! The bound applies to all routers together: over any window, the sends beyond the first stay
+//! below a ratio of the requests plus a fixed slack. Each router keeps to its own part: the ratio
+//! of its own requests, and an equal part of the slack. The sum of the parts is less than the
+//! whole, so the bound needs no coordination between routers. [`SPENT_FRACTION`] leaves room for
+//! windows that begin in the middle of the window of a router, and for routers that restart with
+//! empty counts.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Part of the budget that is spent.
-const SAFETY: f64 = 0.5;
+/// Fraction of the budget that may be spent.
+const SPENT_FRACTION: f64 = 0.5;
 
-/// The bound's figures.
+/// Parameters of the bound.
 #[derive(Clone, Copy, Debug)]
 pub struct Bound {
-    /// Repeats for each request.
+    /// Repeats per request.
     pub ratio: f64,
-    /// Repeats beyond, for all routers, in a window.
+    /// Further repeats in a window, for all routers together.
     pub slack: f64,
     /// Length of a window.
     pub window: Duration,
@@ -31,7 +31,7 @@
     repeats: VecDeque<Duration>,
 }
 
-/// Repeats and requests of each service.
+/// Requests and repeats of each service within the window.
 #[derive(Clone, Debug)]
 pub struct Budget {
     bound: Bound,
@@ -39,7 +39,7 @@
 }
 
 impl Budget {
-    /// An untouched budget.
+    /// Creates an unspent budget.
     #[must_use]
     pub fn new(bound: Bound) -> Self {
         Self {
@@ -48,14 +48,14 @@
         }
     }
 
-    /// Notes a request for a service.
+    /// Records a request for a service.
     pub fn request(&mut self, service: &Arc<str>, now: Duration) {
         let window = self.windows.entry(service.clone()).or_default();
         window.requests.push_back(now);
         trim(window, now, self.bound.window);
     }
 
-    /// Takes one repeat for a service, unless the part of this router is spent.
+    /// Spends one repeat for a service; `false` if the part of this router is exhausted.
     pub fn take(&mut self, service: &Arc<str>, routers: usize, now: Duration) -> bool {
         let window = self.windows.entry(service.clone()).or_default();
         trim(window, now, self.bound.window);
@@ -63,7 +63,7 @@
         let allowed = {
             let own = window.requests.len() as f64 * self.bound.ratio;
             let part = self.bound.slack / routers.max(1) as f64;
-            ((own + part) * SAFETY).max(1.0)
+            ((own + part) * SPENT_FRACTION).max(1.0)
         };
         #[expect(clippy::cast_precision_loss, reason = "counts are small")]
         let spent = window.repeats.len() as f64;
@@ -75,6 +75,7 @@
     }
 }
 
+/// Removes entries older than `length`.
 fn trim(window: &mut Window, now: Duration, length: Duration) {
     for queue in [&mut window.requests, &mut window.repeats] {
         while queue
