--- a/crates/dispatch/src/configuration.rs
+++ b/crates/dispatch/src/configuration.rs
@@ -1,8 +1,8 @@
 //! The configuration in force.
 //!
-//! A configuration is taken whole and never changed: a newer version replaces
-//! it. Requests keep the one under which they arrived. Route lookup is by host
-//! and longest prefix; customers are found by key.
+//! A configuration is immutable and replaced as a whole by a newer version. A request keeps the
+//! version under which it arrived. Routes are looked up by host and longest path prefix, customers
+//! by key.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What may be repeated of a route's requests.
+/// Whether the requests of a route may be repeated, and the form of their answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
     /// May run more than once.
@@ -19,7 +19,7 @@
     Once,
     /// A stream of events that runs at most once.
     Stream,
-    /// A stream of events that may go on at another target.
+    /// A stream of events that may be resumed at another target.
     Resumable,
 }
 
@@ -31,12 +31,12 @@
     }
 }
 
-/// A service that gets a part of a route's requests.
+/// A service that receives a part of the requests of a route.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Share {
     /// Name of the service.
     pub service: Arc<str>,
-    /// Weight against the other parts of the route.
+    /// Weight relative to the other services of the route.
     pub weight: u32,
 }
 
@@ -47,23 +47,23 @@
     pub name: Arc<str>,
     /// Host that it serves.
     pub host: Arc<str>,
-    /// Beginning of the paths that it serves.
+    /// Prefix of the paths that it serves.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// Whether its requests may be repeated.
     pub kind: Kind,
-    /// Longest time for which a request is kept.
+    /// Longest time until a request is given up.
     pub timeout: Duration,
-    /// Time to the answer, for streams to the first event, that users expect.
+    /// Expected time to the answer, or to the first event of a stream.
     pub objective: Duration,
-    /// How many targets a request may be sent to.
+    /// Maximum number of targets that a request is sent to.
     pub attempts: u32,
-    /// Rank; 0 is the highest. Not used yet: all routes of a service have had one rank so far.
+    /// Priority; 0 is the highest. Currently unused: all known routes of a service have the same.
     pub priority: u32,
-    /// Whether no key is asked for.
+    /// Whether requests need no key.
     pub anonymous: bool,
-    /// Services and their weights.
+    /// Services that receive its requests, with their weights.
     pub shares: Vec<Share>,
-    /// Names of the regions in which its requests may run; any if there are none.
+    /// Names of the regions in which its requests may run; any region if empty.
     pub regions: Vec<Arc<str>>,
 }
 
@@ -72,21 +72,21 @@
 pub struct Service {
     /// Name of the service.
     pub name: Arc<str>,
-    /// Connections that one target accepts from all callers. Not used yet: slots bind first.
+    /// Connections that one target accepts from all clients. Currently unused: the limit on slots
+    /// is reached first.
     pub connections: u32,
-    /// Requests a second that one target is made for while it is cold; none if that makes no
-    /// difference to it.
+    /// Requests per second that one cold target can take; `None` if cold targets need no limit.
     pub cold_rate: Option<f64>,
-    /// What its targets are like if they are model engines.
+    /// Properties of its targets if they are model engines.
     pub engine: Option<Engine>,
 }
 
-/// A service's model engines.
+/// Properties of the model engines of a service.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Engine {
-    /// Tokens that one engine's memory holds.
+    /// Capacity of the cache of one engine, in tokens.
     pub memory_tokens: u64,
-    /// Seconds in which one engine gives another one token's memory; none if it can't.
+    /// Seconds per token to fetch cached state from another engine; `None` if engines can't.
     pub fetch_seconds: Option<f64>,
 }
 
@@ -95,39 +95,39 @@
 pub struct Customer {
     /// Name of the customer.
     pub name: Arc<str>,
-    /// Keys that its requests carry.
+    /// Keys that identify its requests.
     pub keys: Vec<Arc<str>>,
-    /// Names of the regions in which its requests may run; any if there are none.
+    /// Names of the regions in which its requests may run; any region if empty.
     pub regions: Vec<Arc<str>>,
 }
 
-/// Limits on callers, and what the model engines can do together.
+/// Limits on clients, and the total rate of the model engines.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Limits {
-    /// Largest head of a request in bytes.
+    /// Largest request head, in bytes.
     pub head_bytes: usize,
-    /// Largest body of a request in bytes.
+    /// Largest request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a head to come in. Not used yet: the idle limit ends slow heads.
+    /// Longest time to receive a request head. Currently unused: the idle timeout ends slow heads.
     pub head_timeout: Duration,
-    /// Longest time that a connection stays idle.
+    /// Longest time that a connection may be idle.
     pub idle_timeout: Duration,
-    /// Tokens a second of all model engines: read once, generated twice.
+    /// Tokens per second of all model engines; a prompt token counts once, a generated one twice.
     pub tokens_per_second: f64,
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Version; larger is newer.
+    /// Version; a larger one is newer.
     pub version: u64,
-    /// All routes.
+    /// Routes.
     pub routes: Vec<Arc<Route>>,
-    /// All services.
+    /// Services.
     pub services: Vec<Service>,
-    /// All customers.
+    /// Customers.
     pub customers: Vec<Customer>,
-    /// Limits.
+    /// Limits on clients.
     pub limits: Limits,
 }
 
@@ -138,12 +138,12 @@
     by_host: HashMap<Arc<str>, Vec<Arc<Route>>>,
     by_key: HashMap<Arc<str>, Arc<str>>,
     services: HashMap<Arc<str>, Service>,
-    /// Regions of customers that are bound to some.
+    /// Regions of customers that are restricted to some.
     customer_regions: HashMap<Arc<str>, Vec<Arc<str>>>,
 }
 
 impl Table {
-    /// Builds the lookup tables.
+    /// Builds the lookup tables of a configuration.
     #[must_use]
     pub fn new(configuration: Configuration) -> Self {
         let mut by_host: HashMap<Arc<str>, Vec<Arc<Route>>> = HashMap::new();
@@ -160,10 +160,10 @@
                 by_key.insert(key.clone(), customer.name.clone());
             }
         }
-        let bound = configuration.customers.iter();
-        let bound = bound.filter(|it| !it.regions.is_empty());
-        let bound = bound.map(|it| (it.name.clone(), it.regions.clone()));
-        let customer_regions = bound.collect();
+        let restricted = configuration.customers.iter();
+        let restricted = restricted.filter(|it| !it.regions.is_empty());
+        let restricted = restricted.map(|it| (it.name.clone(), it.regions.clone()));
+        let customer_regions = restricted.collect();
         let services = configuration.services.iter();
         let services = services.map(|it| (it.name.clone(), it.clone())).collect();
         Self {
@@ -175,25 +175,25 @@
         }
     }
 
-    /// The configuration itself.
+    /// The underlying configuration.
     #[must_use]
     pub fn configuration(&self) -> &Configuration {
         &self.configuration
     }
 
-    /// The version.
+    /// Version of the configuration.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.configuration.version
     }
 
-    /// The limits.
+    /// Limits of the configuration.
     #[must_use]
     pub fn limits(&self) -> &Limits {
         &self.configuration.limits
     }
 
-    /// The route of a host and path: the one with the longest prefix.
+    /// Route of a host and path: the one with the longest matching prefix.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.by_host.get(host)?;
@@ -215,13 +215,13 @@
         self.by_key.get(key)
     }
 
-    /// Names of the regions that a customer is bound to.
+    /// Names of the regions that a customer is restricted to, if any.
     #[must_use]
     pub fn regions_of(&self, customer: &str) -> Option<&[Arc<str>]> {
         self.customer_regions.get(customer).map(Vec::as_slice)
     }
 
-    /// Names of all regions that routes and customers are bound to.
+    /// Names of all regions that routes and customers are restricted to.
     pub fn named_regions(&self) -> impl Iterator<Item = &Arc<str>> {
         let routes = self.configuration.routes.iter().flat_map(|it| &it.regions);
         let customers = self.configuration.customers.iter();
@@ -234,7 +234,7 @@
         self.services.get(name)
     }
 
-    /// Whether keys are asked for at all.
+    /// Whether any customer is configured.
     #[must_use]
     pub fn has_customers(&self) -> bool {
         !self.configuration.customers.is_empty()
@@ -242,20 +242,20 @@
 }
 
 impl Route {
-    /// The service for a request; `draw` is spread evenly over all its values.
+    /// Service for a request; `draw` is a uniformly distributed random number.
     #[must_use]
     pub fn service(&self, draw: u64) -> Option<&Arc<str>> {
         let total: u64 = self.shares.iter().map(|it| u64::from(it.weight)).sum();
         if total == 0 {
             return self.shares.first().map(|it| &it.service);
         }
-        let mut rest = draw % total;
+        let mut remaining = draw % total;
         for share in &self.shares {
             let weight = u64::from(share.weight);
-            if rest < weight {
+            if remaining < weight {
                 return Some(&share.service);
             }
-            rest -= weight;
+            remaining -= weight;
         }
         None
     }
