--- a/crates/dispatch/src/report.rs
+++ b/crates/dispatch/src/report.rs
@@ -1,11 +1,12 @@
-//! What routers tell each other, each message in one datagram.
+//! Messages between routers, each in one datagram.
 //!
-//! A lost message is made good by a later one: an unanswered request for a place is
-//! repeated, what a router has at targets is told whole several times a second, and
-//! greetings go on for as long as the router runs.
+//! Lost messages are made good by later ones: an unanswered request for a place is repeated, the
+//! load of a router at targets is reported in full several times a second, and greetings are sent
+//! for as long as the router runs.
 //!
-//! A message may be of a router of another version. What decodes and can't be meant is not
-//! [plausible](Content::plausible) and is dropped: sums of it would overflow.
+//! A message may come from a router of another version. Content that decodes but has values that
+//! no router can mean is not [plausible](Content::plausible) and is dropped, because sums of such
+//! values would overflow.
 
 use std::time::Duration;
 
@@ -25,31 +26,31 @@
 use crate::target::Tag;
 use crate::usage::{Load, Peer};
 
-/// Longest time in a message that is meant: no request lasts an hour.
-const LONGEST: Duration = Duration::from_hours(1);
+/// Longest plausible time in a message: no request takes an hour.
+const MAX_DURATION: Duration = Duration::from_hours(1);
 
-/// Most tokens in a message that are meant, 2^48: what all engines of a large fleet (1.8 M a second)
-/// produce in five years.
-const TOKENS_MOST: u64 = 1 << 48;
+/// Largest plausible number of tokens in a message: what the engines of a large fleet produce in
+/// five years, at 1.8 M tokens a second.
+const MAX_TOKENS: u64 = 1 << 48;
 
-/// Largest era of the store that is meant: it rises by one with each copy that the store comes back
-/// from. A larger one would make all of its answers seem late.
-const ERA_MOST: u64 = 1 << 20;
+/// Largest plausible era of the store. The era rises by one each time the store is restored from a
+/// copy; with an era that is too large, all answers of the store would count as outdated.
+const MAX_ERA: u64 = 1 << 20;
 
-/// Short name of a customer in messages.
+/// Short identity of a customer in messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CustomerTag(pub u32);
 
-/// A target's load in a report.
+/// Load at one target in a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetLoad {
     /// The target.
     pub tag: Tag,
-    /// The sender's own work there.
+    /// Load that the sender itself caused there.
     pub load: Load,
 }
 
-/// A customer's tokens in a report.
+/// Tokens of one customer in a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CustomerUse {
     /// The customer.
@@ -60,34 +61,34 @@
     pub granted: u64,
 }
 
-/// How old the sender's views of the platform are.
+/// Versions and ages of the sender's views of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Views {
-    /// Version of the configuration in force; 0 for none.
+    /// Version of the configuration in force; 0 if there is none.
     pub configuration: u64,
-    /// The reading by which that was the store's newest.
+    /// Reading at which that was the newest version in the store.
     pub configuration_read: Option<Reading>,
-    /// The reading of the list of targets, if there is one.
+    /// Reading of the list of targets, if there is one.
     pub registry_read: Option<Reading>,
-    /// Sum of the list of targets.
+    /// Digest of the list of targets.
     pub registry_digest: u64,
-    /// Where the store's log goes on behind that list.
+    /// Position in the log of the store at which that list ends.
     pub registry_position: Option<Position>,
-    /// Sum of the contents under which targets ended; none if the sender doesn't know yet which
+    /// Digest of the contents whose runs ended targets; `None` until the sender knows those that
     /// the store keeps.
     pub quarantine: Option<u64>,
-    /// Sum of the orders to evacuate failure domains.
+    /// Digest of the orders to evacuate failure domains.
     pub evacuations: u64,
-    /// The newest era of the store, if anything was heard of it.
+    /// Newest known era of the store.
     pub era: Option<u64>,
-    /// Sum of the targets that have said that they leave.
+    /// Digest of the targets that have announced that they leave.
     pub leaving: u64,
 }
 
-/// Who is alive, and what the sender knows of the platform.
+/// Membership gossip, and the versions of the sender's views of the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Greeting {
-    /// Who is alive.
+    /// Membership packet.
     pub packet: Packet,
     /// The sender's views.
     pub views: Views,
@@ -98,29 +99,29 @@
 pub struct Ask {
     /// Number of the request at the router that asks.
     pub number: u64,
-    /// The cell.
+    /// Cell in which the place is asked for.
     pub cell: Cell,
-    /// What it asks, unless that was answered lately.
+    /// Content of the request, unless it was answered recently.
     pub content: Option<ContentTag>,
-    /// Its prompt, if it is for a model engine.
+    /// Prompt, if the request is for a model engine.
     pub prompt: Option<Prompt>,
-    /// Its customer.
+    /// Customer, if any.
     pub customer: Option<CustomerTag>,
-    /// Tokens for which its customer is charged.
+    /// Tokens charged to the customer.
     pub cost: u64,
-    /// Time to the first event that users expect.
+    /// Expected time to the first event.
     pub objective: Duration,
-    /// How long it has waited since it arrived.
+    /// Time since the request arrived.
     pub waited: Duration,
-    /// How long it will wait from now on.
+    /// Time for which it will still wait.
     pub patience: Duration,
-    /// Whether its caller was refused before.
+    /// Whether it is a retry of a refused request.
     pub returning: bool,
-    /// Whether the tokens it asks for have been counted before.
+    /// Whether its tokens were already counted as demand.
     pub counted: bool,
-    /// Whether a target has failed it.
+    /// Whether it has failed at a target.
     pub failed: bool,
-    /// Targets that have failed it or the router that asks.
+    /// Targets at which it, or the router that asks, has seen a failure.
     pub avoid: Vec<Tag>,
 }
 
@@ -131,124 +132,124 @@
     pub number: u64,
     /// The target.
     pub tag: Tag,
-    /// Tokens that the target has to read.
+    /// Prompt tokens that the target has to read.
     pub unread: u64,
-    /// Whether its prefix is taken to be there.
+    /// Whether the target is expected to hold the prefix of the prompt.
     pub hit: bool,
-    /// The target from whose memory it fetches what it lacks of the prefix.
+    /// Target from whose cache it fetches the missing part of the prefix.
     pub fetch: Option<Tag>,
-    /// How its customer stands.
+    /// Usage of its customer and its limit, if it has one.
     pub standing: Option<Standing>,
 }
 
-/// There is no place yet; the request waits at the owner.
+/// No place is free yet; the request is queued at the owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Wait {
     /// Number of the request at the router that asked.
     pub number: u64,
-    /// Requests that wait there.
+    /// Number of requests queued there.
     pub waiting: u32,
-    /// How its customer stands.
+    /// Usage of its customer and its limit, if it has one.
     pub standing: Option<Standing>,
-    /// How long no target of the cell will take it, if it is given up before that; it does not wait
-    /// then.
+    /// Time for which no target of the cell accepts it, if the request times out before; it is not
+    /// queued then.
     pub closed_for: Option<Duration>,
 }
 
-/// A place that was used is free.
+/// A place that was used is free again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Return {
     /// The target.
     pub tag: Tag,
-    /// Prompt tokens that the target had yet to read.
+    /// Prompt tokens that the target had not read yet.
     pub unread: u64,
-    /// How the exchange went, if anything is known of it.
+    /// Outcome of the exchange, if known.
     pub outcome: Option<Outcome>,
-    /// Number of the request under which the receiver gave the place, if the target has not run
-    /// it: then its customer is not charged.
+    /// Number of the request for which the receiver granted the place, if the target has not run
+    /// it: the customer is not charged then.
     pub not_run: Option<u64>,
-    /// What it asked, if the place was asked for with it.
+    /// Content of the request, if the place was asked for with it.
     pub content: Option<ContentTag>,
-    /// The target's refusal, if it turned the request away.
+    /// Refusal by the target, if it refused the request.
     pub refusal: Option<Refusal>,
 }
 
-/// What the sender has at the targets of the receiver's cells.
+/// Load that the sender has at the targets of the receiver's cells.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Work {
-    /// Its work.
+    /// Load by target.
     pub loads: Vec<TargetLoad>,
-    /// Prefixes that it sent to targets lately, for an owner that is new.
+    /// Prefixes recently sent to targets, for a new owner.
     pub uses: Vec<Use>,
-    /// Customers' tokens that the sender granted as an owner, for all owners.
+    /// Usage of customers that the sender granted as an owner, for all owners.
     pub customers: Vec<CustomerUse>,
-    /// Numbers of the requests for which the sender uses places that the receiver gave it lately.
+    /// Numbers of requests for which the sender uses places that the receiver granted recently.
     pub accepted: Vec<u64>,
-    /// Targets that have named a time to the sender, for an owner that is new.
+    /// Targets that have named a retry delay to the sender, for a new owner.
     pub refusals: Vec<(Tag, Refusal)>,
 }
 
-/// A message's content.
+/// Content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Content {
     /// The sender is alive.
     Greeting(Greeting),
     /// A place is asked for.
     Ask(Ask),
-    /// A place is given.
+    /// A place is granted.
     Grant(Grant),
-    /// A request waits.
+    /// A request is queued.
     Wait(Wait),
-    /// A request no longer waits, and a place that it was given is not used.
+    /// A request no longer waits; a place granted to it is not used.
     Withdraw(u64),
-    /// A prompt has been read at a target.
+    /// A target has read a prompt.
     Read {
         /// The target.
         tag: Tag,
-        /// Tokens that it has read.
+        /// Number of prompt tokens read.
         unread: u64,
     },
-    /// A place that was used is free.
+    /// A place that was used is free again.
     Return(Return),
-    /// What the sender has at targets.
+    /// Load of the sender at targets.
     Work(Work),
-    /// What the sender has found of runs that did not end with an answer.
+    /// The sender's findings on runs that did not end with an answer.
     Findings(Vec<Finding>),
-    /// Targets that have said that they leave.
+    /// Targets that have announced that they leave.
     Leaving(leaving::Report),
 }
 
 /// A message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Identity of the sender's start.
+    /// Sender; it has a new identity after each start.
     pub sender: Peer,
-    /// What it says.
+    /// Content.
     pub content: Content,
 }
 
 impl Content {
-    /// Whether a router can mean this.
+    /// Whether all values are in the range that a router can mean.
     #[must_use]
     pub fn plausible(&self) -> bool {
-        let few = |tokens: u64| tokens <= TOKENS_MOST;
+        let in_range = |tokens: u64| tokens <= MAX_TOKENS;
         match self {
             Self::Ask(ask) => ask.plausible(),
-            Self::Grant(grant) => few(grant.unread),
-            Self::Read { unread, .. } => few(*unread),
+            Self::Grant(grant) => in_range(grant.unread),
+            Self::Read { unread, .. } => in_range(*unread),
             Self::Return(returned) => {
-                few(returned.unread) && returned.refusal.is_none_or(|it| it.plausible())
+                in_range(returned.unread) && returned.refusal.is_none_or(|it| it.plausible())
             }
             Self::Work(work) => {
                 let mut loads = work.loads.iter();
                 let mut customers = work.customers.iter();
-                loads.all(|it| few(it.load.unread))
-                    && customers.all(|it| few(it.asked) && few(it.granted))
+                loads.all(|it| in_range(it.load.unread))
+                    && customers.all(|it| in_range(it.asked) && in_range(it.granted))
                     && work.refusals.iter().all(|(_, it)| it.plausible())
             }
-            Self::Greeting(greeting) => greeting.views.era.is_none_or(|it| it <= ERA_MOST),
+            Self::Greeting(greeting) => greeting.views.era.is_none_or(|it| it <= MAX_ERA),
             Self::Leaving(report) => report.plausible(),
-            Self::Wait(wait) => wait.closed_for.is_none_or(|it| it <= LONGEST),
+            Self::Wait(wait) => wait.closed_for.is_none_or(|it| it <= MAX_DURATION),
             Self::Withdraw(_) | Self::Findings(_) => true,
         }
     }
@@ -256,13 +257,13 @@
 
 impl Ask {
     fn plausible(&self) -> bool {
-        let short = [self.objective, self.waited, self.patience];
+        let durations = [self.objective, self.waited, self.patience];
         let counts = self.prompt.iter().flat_map(|it| {
             let parts = it.parts.iter().map(|it| it.tokens);
             parts.chain([it.tokens, it.answer_tokens])
         });
-        short.iter().all(|it| *it <= LONGEST)
-            && self.cost <= TOKENS_MOST
-            && counts.into_iter().all(|it| it <= TOKENS_MOST)
+        durations.iter().all(|it| *it <= MAX_DURATION)
+            && self.cost <= MAX_TOKENS
+            && counts.into_iter().all(|it| it <= MAX_TOKENS)
     }
 }
