--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,30 +1,31 @@
 //! Decisions of a router on the shared data path.
 //!
-//! Everything here is pure: no input or output, no clock, no randomness. Times
-//! are durations since the router started and come with each call. The crate
-//! `dunlinward-path` brings events and carries out what is decided.
+//! All code here is pure: no input or output, no clock, no randomness. Times are durations since
+//! the router started and are passed with each call. The crate `dunlinward-path` feeds in events
+//! and carries out the decisions.
 //!
 //! - [`configuration`]: routes, services, customers and limits in force.
-//! - [`content`]: what a request asks, whoever carries it.
-//! - [`quarantine`], [`cuts`], [`copies`]: contents under which targets end.
-//! - [`target`], [`registry`]: the targets that are known, and which may get work.
-//! - [`store`], [`evacuation`]: what the platform's store says, and failure domains that get nothing.
-//! - [`cold`]: targets that bear few requests for now.
-//! - [`leaving`], [`backoff`]: what targets say of themselves: that they end, that they want no more.
-//! - [`cell`], [`member`]: groups of targets, and the router that places requests there.
+//! - [`content`]: identity of what a request asks, independent of its caller.
+//! - [`quarantine`], [`cuts`], [`copies`]: contents whose runs end targets.
+//! - [`target`], [`registry`]: known targets, and which of them may receive work.
+//! - [`store`], [`evacuation`]: state read from the store of the platform, and failure domains that
+//!   receive no work.
+//! - [`cold`]: targets that can take only few requests for now.
+//! - [`leaving`], [`backoff`]: targets that announce their end, and targets that refuse requests.
+//! - [`cell`], [`member`]: groups of targets, and the router that places requests in each.
 //! - [`membership`]: which routers are alive.
-//! - [`usage`]: work at each target, this router's and its peers'.
-//! - [`prefix`], [`cache`], [`placement`]: which target runs a request.
-//! - [`grants`]: places given to other routers, and which of them are not used.
-//! - [`share`]: what each customer has used and may use.
-//! - [`tries`], [`returns`]: which requests are a caller's first try.
-//! - [`budget`]: how often a request may be sent once more.
-//! - [`health`]: targets that fail and are left alone for a while.
-//! - [`reach`]: failure domains that may be cut off.
-//! - [`reading`]: when views were read, as routers tell each other.
-//! - [`turn`]: who calls the store for a view, and when.
-//! - [`region`], [`roundtrip`]: which failure domains are near, and how long ways take.
-//! - [`report`]: what routers tell each other.
+//! - [`usage`]: load at each target, from this router and its peers.
+//! - [`prefix`], [`cache`], [`placement`]: choice of the target that runs a request.
+//! - [`grants`]: places granted to other routers, and which of them are not used.
+//! - [`share`]: token usage and fair share of each customer.
+//! - [`tries`], [`returns`]: distinction of first attempts of clients from retries.
+//! - [`budget`]: limit on how often requests are sent again.
+//! - [`health`]: failing targets that are ejected for a while.
+//! - [`reach`]: failure domains that may be unreachable.
+//! - [`reading`]: times at which views were read, as exchanged between routers.
+//! - [`turn`]: which router reads a view from the store, and when.
+//! - [`region`], [`roundtrip`]: proximity of failure domains, and round-trip times.
+//! - [`report`]: messages between routers.
 
 pub mod backoff;
 pub mod budget;
