--- a/crates/dispatch/tests/grants.rs
+++ b/crates/dispatch/tests/grants.rs
@@ -1,4 +1,4 @@
-//! Places given to other routers: what ends a lease, and that it ends once.
+//! Leases of places granted to other routers: what ends a lease, and that it ends only once.
 
 use std::time::Duration;
 
@@ -20,8 +20,13 @@
     Request { peer: PEER, number }
 }
 
-/// Gives places for 100 tokens each, in order of their numbers, at one moment.
-fn give(grants: &mut Grants, shares: &mut Shares, numbers: std::ops::Range<u64>, now: Duration) {
+/// Grants places for 100 tokens each, at `now`.
+fn grant_places(
+    grants: &mut Grants,
+    shares: &mut Shares,
+    numbers: std::ops::Range<u64>,
+    now: Duration,
+) {
     for number in numbers {
         let grant = Grant {
             number,
@@ -42,26 +47,26 @@
     }
 }
 
-fn take_back(shares: &mut Shares, end: Option<End>, now: Duration) {
+fn refund(shares: &mut Shares, end: Option<End>, now: Duration) {
     if let Some(charge) = end.and_then(|it| it.lease.charge) {
         shares.take_back(charge, now);
     }
 }
 
 #[test]
-fn a_lease_ends_once_however_often_and_in_whatever_order_that_is_said() {
+fn a_lease_ends_once_whatever_the_number_and_order_of_reports() {
     let (mut grants, mut shares) = (Grants::new(WINDOW), Shares::new(WINDOW));
-    give(&mut grants, &mut shares, 0..3, ms(0));
-    let words = [
+    grant_places(&mut grants, &mut shares, 0..3, ms(0));
+    let reports = [
         (0, Reason::Withdrawn),
         (0, Reason::Withdrawn),
         (1, Reason::NotRun),
         (1, Reason::Withdrawn),
         (9, Reason::Withdrawn),
     ];
-    for (number, reason) in words {
+    for (number, reason) in reports {
         let end = grants.end(request(number), reason);
-        take_back(&mut shares, end, ms(50));
+        refund(&mut shares, end, ms(50));
     }
     let confirmed = [0, 1, 2].map(|number| grants.confirm(request(number)).is_some());
     assert_eq!(confirmed, [false, false, true]);
@@ -74,37 +79,38 @@
     assert!(grants.take_unused().is_empty());
 }
 
-/// Word of a place that is not used may be lost; a charge without a run must not stay.
+/// The message that a place is not used may be lost; the customer must not stay charged for a
+/// request that did not run.
 #[test]
-fn a_lease_lapses_unless_it_is_confirmed() {
+fn a_lease_expires_unless_it_is_confirmed() {
     let (mut grants, mut shares) = (Grants::new(WINDOW), Shares::new(WINDOW));
-    give(&mut grants, &mut shares, 0..4, ms(0));
+    grant_places(&mut grants, &mut shares, 0..4, ms(0));
     assert!(grants.confirm(request(1)).is_some());
-    let other = |number| Request {
+    let of_other_peer = |number| Request {
         peer: Peer(2),
         number,
     };
-    assert!((0..4).all(|it| grants.confirm(other(it)).is_none()));
+    assert!((0..4).all(|it| grants.confirm(of_other_peer(it)).is_none()));
     assert!(grants.lapse(LEASE.saturating_sub(ms(1))).is_empty());
     for end in grants.lapse(LEASE) {
         assert!(!end.confirmed);
-        take_back(&mut shares, Some(end), LEASE);
+        refund(&mut shares, Some(end), LEASE);
     }
     assert_eq!(shares.granted(CUSTOMER, LEASE), 100);
     assert!(grants.lapse(LEASE + ms(300)).is_empty());
-    // A target may refuse what it was sent long after the place was confirmed.
+    // A target may refuse a request long after its place was confirmed.
     let end = grants.end(request(1), Reason::NotRun);
     assert_eq!(end.map(|it| it.confirmed), Some(true));
-    take_back(&mut shares, end, LEASE + ms(300));
+    refund(&mut shares, end, LEASE + ms(300));
     assert_eq!(shares.granted(CUSTOMER, LEASE + ms(300)), 0);
 }
 
-/// A request that is put again, as its answer was lost, is given the same place for as long as a
-/// late copy of it may come.
+/// A request that is sent again because the answer was lost gets the same place for as long as a
+/// delayed copy of it may arrive.
 #[test]
-fn a_request_is_given_the_same_place_again_also_after_its_lease_has_ended() {
+fn a_repeated_request_gets_the_same_place_even_after_its_lease_has_ended() {
     let (mut grants, mut shares) = (Grants::new(WINDOW), Shares::new(WINDOW));
-    give(&mut grants, &mut shares, 0..1, ms(0));
+    grant_places(&mut grants, &mut shares, 0..1, ms(0));
     let place = grants.find(request(0));
     assert!(place.is_some());
     assert!(grants.end(request(0), Reason::Withdrawn).is_some());
@@ -114,7 +120,7 @@
 }
 
 #[test]
-fn what_has_left_the_window_is_not_taken_back_from_what_came_later() {
+fn a_charge_that_has_left_the_window_is_not_refunded_from_later_ones() {
     let mut shares = Shares::new(WINDOW);
     let old = shares.grant(CUSTOMER, 100, ms(0));
     let new = shares.grant(CUSTOMER, 30, ms(2_000));
