--- a/crates/dispatch/tests/messages.rs
+++ b/crates/dispatch/tests/messages.rs
@@ -1,4 +1,5 @@
-//! Messages that a router of another version, or nobody, may have sent.
+//! Plausibility of messages: values that a router of another version may send, and values that no
+//! router sends.
 
 use std::time::Duration;
 
@@ -64,14 +65,14 @@
     })
 }
 
-fn used(granted: u64) -> Content {
-    let used = CustomerUse {
+fn customer_use(granted: u64) -> Content {
+    let customer_use = CustomerUse {
         tag: CustomerTag(5),
         asked: 20,
         granted,
     };
     Content::Work(Work {
-        customers: vec![used],
+        customers: vec![customer_use],
         ..Work::default()
     })
 }
@@ -88,13 +89,13 @@
 }
 
 #[test]
-fn what_routers_say_is_plausible() {
+fn messages_in_range_are_plausible() {
     let contents = [
         Content::Ask(ask()),
         Content::Grant(grant()),
         Content::Withdraw(u64::MAX),
         load(2_000_000),
-        used(100_000_000),
+        customer_use(100_000_000),
         returned(0),
     ];
     for content in contents {
@@ -102,39 +103,39 @@
     }
 }
 
-/// The sum of a time or of tokens overflowed: with the first of these a router heard no message any
-/// more.
+/// Sums of such times or token counts overflow; after the first of these messages, a router no
+/// longer received any.
 #[test]
-fn what_no_router_can_mean_is_not() {
-    let long = Duration::MAX;
-    let most = u64::MAX;
+fn messages_out_of_range_are_not_plausible() {
+    let max_duration = Duration::MAX;
+    let max_tokens = u64::MAX;
     let asks = [
         Ask {
-            patience: long,
+            patience: max_duration,
             ..ask()
         },
         Ask {
-            objective: long,
+            objective: max_duration,
             ..ask()
         },
         Ask {
-            waited: long,
+            waited: max_duration,
             ..ask()
         },
         Ask {
-            cost: most,
+            cost: max_tokens,
             ..ask()
         },
         Ask {
             prompt: Some(Prompt {
-                tokens: most,
+                tokens: max_tokens,
                 ..Prompt::default()
             }),
             ..ask()
         },
         Ask {
             prompt: Some(Prompt {
-                answer_tokens: most,
+                answer_tokens: max_tokens,
                 ..Prompt::default()
             }),
             ..ask()
@@ -143,7 +144,7 @@
             prompt: Some(Prompt {
                 parts: vec![Part {
                     id: 0,
-                    tokens: most,
+                    tokens: max_tokens,
                 }],
                 ..Prompt::default()
             }),
@@ -152,16 +153,16 @@
     ];
     let contents = asks.into_iter().map(Content::Ask).chain([
         Content::Grant(Grant {
-            unread: most,
+            unread: max_tokens,
             ..grant()
         }),
         Content::Read {
             tag: Tag::new("i-1"),
-            unread: most,
+            unread: max_tokens,
         },
-        load(most),
-        used(most),
-        returned(most),
+        load(max_tokens),
+        customer_use(max_tokens),
+        returned(max_tokens),
     ]);
     for content in contents {
         assert!(!content.plausible(), "{content:?}");
@@ -195,9 +196,9 @@
     Content::Greeting(Greeting { packet, views })
 }
 
-/// With such an era all answers of the store would seem to be from before it came back from a copy.
+/// With such an era, all answers of the store would count as dating from before its last restore.
 #[test]
-fn an_era_that_no_store_reaches_is_not_taken() {
+fn an_era_that_no_store_reaches_is_not_plausible() {
     assert!(greeting(1_000).plausible());
     assert!(!greeting(u64::MAX).plausible());
     assert!(!greeting(1 << 40).plausible());
