--- a/crates/dispatch/src/grants.rs
+++ b/crates/dispatch/src/grants.rs
@@ -17,7 +17,7 @@
 
 /// Time within which a lease must be confirmed: a router that is silent for that long counts as
 /// having no work. A router confirms within 0.3 s, and once more after 0.6 s.
-pub const LEASE: Duration = PEER_TIMEOUT;
+pub const LEASE_TIMEOUT: Duration = PEER_TIMEOUT;
 
 /// Identity of a request for a place, unique among all routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -186,8 +186,9 @@
         let retention = self.retention;
         self.entries
             .retain(|_, it| now.saturating_sub(it.granted_at) < retention);
-        let is_late =
-            |it: &Entry| it.state == State::Granted && now.saturating_sub(it.granted_at) >= LEASE;
+        let is_late = |it: &Entry| {
+            it.state == State::Granted && now.saturating_sub(it.granted_at) >= LEASE_TIMEOUT
+        };
         let expired = self.entries.iter().filter(|(_, it)| is_late(it));
         let expired: Vec<_> = expired.map(|(request, _)| *request).collect();
         let ends = expired.into_iter();
--- a/crates/dispatch/tests/grants.rs
+++ b/crates/dispatch/tests/grants.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dunlinward_dispatch::grants::{End, Grants, LEASE, Lease, Reason, Request};
+use dunlinward_dispatch::grants::{End, Grants, LEASE_TIMEOUT, Lease, Reason, Request};
 use dunlinward_dispatch::report::{CustomerTag, Grant};
 use dunlinward_dispatch::share::Shares;
 use dunlinward_dispatch::target::Tag;
@@ -71,7 +71,7 @@
     let confirmed = [0, 1, 2].map(|number| grants.confirm(request(number)).is_some());
     assert_eq!(confirmed, [false, false, true]);
     assert_eq!(shares.granted(CUSTOMER, ms(60)), 100);
-    assert!(grants.lapse(LEASE).is_empty());
+    assert!(grants.lapse(LEASE_TIMEOUT).is_empty());
     let unused: Vec<_> = grants.take_unused();
     let unused = unused.iter().map(|it| (it.reason, it.places, it.tokens));
     let expected = [(Reason::Withdrawn, 1, 100), (Reason::NotRun, 1, 100)];
@@ -91,18 +91,18 @@
         number,
     };
     assert!((0..4).all(|it| grants.confirm(of_other_peer(it)).is_none()));
-    assert!(grants.lapse(LEASE.saturating_sub(ms(1))).is_empty());
-    for end in grants.lapse(LEASE) {
+    assert!(grants.lapse(LEASE_TIMEOUT.saturating_sub(ms(1))).is_empty());
+    for end in grants.lapse(LEASE_TIMEOUT) {
         assert!(!end.confirmed);
-        refund(&mut shares, Some(end), LEASE);
+        refund(&mut shares, Some(end), LEASE_TIMEOUT);
     }
-    assert_eq!(shares.granted(CUSTOMER, LEASE), 100);
-    assert!(grants.lapse(LEASE + ms(300)).is_empty());
+    assert_eq!(shares.granted(CUSTOMER, LEASE_TIMEOUT), 100);
+    assert!(grants.lapse(LEASE_TIMEOUT + ms(300)).is_empty());
     // A target may refuse a request long after its place was confirmed.
     let end = grants.end(request(1), Reason::NotRun);
     assert_eq!(end.map(|it| it.confirmed), Some(true));
-    refund(&mut shares, end, LEASE + ms(300));
-    assert_eq!(shares.granted(CUSTOMER, LEASE + ms(300)), 0);
+    refund(&mut shares, end, LEASE_TIMEOUT + ms(300));
+    assert_eq!(shares.granted(CUSTOMER, LEASE_TIMEOUT + ms(300)), 0);
 }
 
 /// A request that is sent again because the answer was lost gets the same place for as long as a
