--- a/crates/dispatch/src/grants.rs
+++ b/crates/dispatch/src/grants.rs
@@ -21,7 +21,7 @@
 
 /// Identity of a request for a place, unique among all routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Request {
+pub struct RequestId {
     /// Router that asks.
     pub peer: Peer,
     /// Number of the request at that router.
@@ -106,7 +106,7 @@
 #[derive(Clone, Debug)]
 pub struct Grants {
     retention: Duration,
-    entries: HashMap<Request, Entry>,
+    entries: HashMap<RequestId, Entry>,
     unused: HashMap<(CustomerTag, Peer, Reason), Unused>,
 }
 
@@ -123,7 +123,7 @@
     }
 
     /// Records a place that is granted.
-    pub fn give(&mut self, request: Request, lease: Lease, now: Duration) {
+    pub fn give(&mut self, request: RequestId, lease: Lease, now: Duration) {
         let entry = Entry {
             lease,
             granted_at: now,
@@ -134,12 +134,12 @@
 
     /// Place that was granted to a request.
     #[must_use]
-    pub fn find(&self, request: Request) -> Option<Grant> {
+    pub fn find(&self, request: RequestId) -> Option<Grant> {
         self.entries.get(&request).map(|it| it.lease.grant)
     }
 
     /// Confirms that a place is used; returns the lease at the first confirmation only.
-    pub fn confirm(&mut self, request: Request) -> Option<Lease> {
+    pub fn confirm(&mut self, request: RequestId) -> Option<Lease> {
         let entry = self.entries.get_mut(&request)?;
         if entry.state != State::Granted {
             return None;
@@ -149,7 +149,7 @@
     }
 
     /// Ends the lease of a place that is not used; `None` if it is unknown or has ended before.
-    pub fn end(&mut self, request: Request, reason: Reason) -> Option<End> {
+    pub fn end(&mut self, request: RequestId, reason: Reason) -> Option<End> {
         let entry = self.entries.get_mut(&request)?;
         let previous = std::mem::replace(&mut entry.state, State::Ended);
         if previous == State::Ended {
--- a/crates/dispatch/tests/grants.rs
+++ b/crates/dispatch/tests/grants.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dunlinward_dispatch::grants::{End, Grants, LEASE_TIMEOUT, Lease, Reason, Request};
+use dunlinward_dispatch::grants::{End, Grants, LEASE_TIMEOUT, Lease, Reason, RequestId};
 use dunlinward_dispatch::report::{CustomerTag, Grant};
 use dunlinward_dispatch::share::Shares;
 use dunlinward_dispatch::target::Tag;
@@ -16,8 +16,8 @@
     Duration::from_millis(milliseconds)
 }
 
-fn request(number: u64) -> Request {
-    Request { peer: PEER, number }
+fn request(number: u64) -> RequestId {
+    RequestId { peer: PEER, number }
 }
 
 /// Grants places for 100 tokens each, at `now`.
@@ -86,7 +86,7 @@
     let (mut grants, mut shares) = (Grants::new(WINDOW), Shares::new(WINDOW));
     grant_places(&mut grants, &mut shares, 0..4, ms(0));
     assert!(grants.confirm(request(1)).is_some());
-    let of_other_peer = |number| Request {
+    let of_other_peer = |number| RequestId {
         peer: Peer(2),
         number,
     };
--- a/crates/path/src/state/ended.rs
+++ b/crates/path/src/state/ended.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use dunlinward_dispatch::grants::{End, Reason, Request};
+use dunlinward_dispatch::grants::{End, Reason, RequestId};
 use dunlinward_dispatch::health::Outcome;
 use dunlinward_dispatch::report::Return;
 use dunlinward_dispatch::share::Charge;
@@ -20,7 +20,7 @@
             self.refuse(&waiter.wish, now);
         }
         self.queue = queue;
-        let request = Request { peer, number };
+        let request = RequestId { peer, number };
         let Some(end) = self.grants.end(request, Reason::Withdrawn) else {
             return;
         };
@@ -49,7 +49,7 @@
             (None, Some(Outcome::Good)) => self.backoffs.note_running(returned.tag, now),
             (None, _) => {}
         }
-        let request = returned.not_run.map(|number| Request { peer, number });
+        let request = returned.not_run.map(|number| RequestId { peer, number });
         let end = request.and_then(|it| self.grants.end(it, Reason::NotRun));
         if let Some(end) = end {
             self.undo(end, now);
@@ -59,7 +59,7 @@
     /// Another router uses places that it was given.
     pub(crate) fn confirm(&mut self, peer: Peer, numbers: &[u64], now: Duration) {
         for number in numbers {
-            let request = Request {
+            let request = RequestId {
                 peer,
                 number: *number,
             };
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use dunlinward_dispatch::grants::{self, Request};
+use dunlinward_dispatch::grants::{self, RequestId};
 use dunlinward_dispatch::placement::{self, Ask, Choice};
 use dunlinward_dispatch::prefix::{self, Prompt, Use};
 use dunlinward_dispatch::report::{Content, CustomerTag, Grant, Wait};
@@ -48,7 +48,7 @@
         now: Duration,
     ) -> Content {
         let Asker { peer, number, .. } = asker;
-        if let Some(grant) = self.grants.find(Request { peer, number }) {
+        if let Some(grant) = self.grants.find(RequestId { peer, number }) {
             return Content::Grant(grant);
         }
         let known = self.queue.iter().any(|it| it.origin.is(peer, number));
@@ -258,7 +258,7 @@
             prefix,
             content: wish.content,
         };
-        self.grants.give(Request { peer, number }, lease, now);
+        self.grants.give(RequestId { peer, number }, lease, now);
         grant
     }
 
