--- a/crates/dispatch/src/grants.rs
+++ b/crates/dispatch/src/grants.rs
@@ -123,7 +123,7 @@
     }
 
     /// Records a place that is granted.
-    pub fn give(&mut self, request: RequestId, lease: Lease, now: Duration) {
+    pub fn insert(&mut self, request: RequestId, lease: Lease, now: Duration) {
         let entry = Entry {
             lease,
             granted_at: now,
--- a/crates/dispatch/tests/grants.rs
+++ b/crates/dispatch/tests/grants.rs
@@ -43,7 +43,7 @@
             prefix: None,
             content: None,
         };
-        grants.give(request(number), lease, now);
+        grants.insert(request(number), lease, now);
     }
 }
 
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -258,7 +258,7 @@
             prefix,
             content: wish.content,
         };
-        self.grants.give(RequestId { peer, number }, lease, now);
+        self.grants.insert(RequestId { peer, number }, lease, now);
         grant
     }
 
