--- a/crates/dispatch/src/grants.rs
+++ b/crates/dispatch/src/grants.rs
@@ -182,7 +182,7 @@
 
     /// Ends leases that were not confirmed in time, and removes those that no message can refer to
     /// any more.
-    pub fn lapse(&mut self, now: Duration) -> Vec<End> {
+    pub fn expire(&mut self, now: Duration) -> Vec<End> {
         let retention = self.retention;
         self.entries
             .retain(|_, it| now.saturating_sub(it.granted_at) < retention);
--- a/crates/dispatch/tests/grants.rs
+++ b/crates/dispatch/tests/grants.rs
@@ -71,7 +71,7 @@
     let confirmed = [0, 1, 2].map(|number| grants.confirm(request(number)).is_some());
     assert_eq!(confirmed, [false, false, true]);
     assert_eq!(shares.granted(CUSTOMER, ms(60)), 100);
-    assert!(grants.lapse(LEASE_TIMEOUT).is_empty());
+    assert!(grants.expire(LEASE_TIMEOUT).is_empty());
     let unused: Vec<_> = grants.take_unused();
     let unused = unused.iter().map(|it| (it.reason, it.places, it.tokens));
     let expected = [(Reason::Withdrawn, 1, 100), (Reason::NotRun, 1, 100)];
@@ -91,13 +91,17 @@
         number,
     };
     assert!((0..4).all(|it| grants.confirm(of_other_peer(it)).is_none()));
-    assert!(grants.lapse(LEASE_TIMEOUT.saturating_sub(ms(1))).is_empty());
-    for end in grants.lapse(LEASE_TIMEOUT) {
+    assert!(
+        grants
+            .expire(LEASE_TIMEOUT.saturating_sub(ms(1)))
+            .is_empty()
+    );
+    for end in grants.expire(LEASE_TIMEOUT) {
         assert!(!end.confirmed);
         refund(&mut shares, Some(end), LEASE_TIMEOUT);
     }
     assert_eq!(shares.granted(CUSTOMER, LEASE_TIMEOUT), 100);
-    assert!(grants.lapse(LEASE_TIMEOUT + ms(300)).is_empty());
+    assert!(grants.expire(LEASE_TIMEOUT + ms(300)).is_empty());
     // A target may refuse a request long after its place was confirmed.
     let end = grants.end(request(1), Reason::NotRun);
     assert_eq!(end.map(|it| it.confirmed), Some(true));
@@ -115,7 +119,7 @@
     assert!(place.is_some());
     assert!(grants.end(request(0), Reason::Withdrawn).is_some());
     assert_eq!(grants.find(request(0)), place);
-    assert!(grants.lapse(WINDOW).is_empty());
+    assert!(grants.expire(WINDOW).is_empty());
     assert_eq!(grants.find(request(0)), None);
 }
 
--- a/crates/path/src/state/ended.rs
+++ b/crates/path/src/state/ended.rs
@@ -73,7 +73,7 @@
     /// Ends places of which nothing was heard. Their work is not counted any more either: a report
     /// has come since, or the router is silent.
     pub(crate) fn lapse(&mut self, now: Duration) {
-        for end in self.grants.lapse(now) {
+        for end in self.grants.expire(now) {
             if let Some(content) = end.lease.content {
                 self.copies.end(content, end.lease.grant.tag);
             }
