--- a/crates/dispatch/src/share.rs
+++ b/crates/dispatch/src/share.rs
@@ -215,7 +215,7 @@
     }
 
     /// Records the usage that a peer reported, which replaces its previous report.
-    pub fn hear(&mut self, peer: Peer, uses: &[CustomerUse], now: Duration) {
+    pub fn record_peer(&mut self, peer: Peer, uses: &[CustomerUse], now: Duration) {
         let customers = uses.iter().map(|it| {
             let tokens = Tokens {
                 asked: it.asked,
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -282,7 +282,7 @@
         asked: 9000,
         granted: 900,
     };
-    shares.hear(Peer(3), &[peer], ms(100));
+    shares.record_peer(Peer(3), &[peer], ms(100));
     assert!(shares.cover(large, 10, ms(100)) < 1.0);
     assert!(shares.cover(large, 910, ms(100)) < 0.6);
     assert!(shares.cover(small, 10, ms(100)) >= 1.0);
@@ -305,7 +305,7 @@
     tags.sort_unstable();
     assert_eq!(tags, [200, 201, 202]);
     let mut other = Shares::new(ms(4000));
-    other.hear(Peer(1), &told, ms(0));
+    other.record_peer(Peer(1), &told, ms(0));
     let level = |shares: &mut Shares| {
         shares.cover(CustomerTag(200), 1, ms(0));
         shares.standing(CustomerTag(200), ms(0)).level
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -119,7 +119,7 @@
             state.backoffs.note_named(peer, *tag, *refusal, now);
         }
         if !work.customers.is_empty() {
-            state.shares.hear(peer, &work.customers, now);
+            state.shares.record_peer(peer, &work.customers, now);
         }
     }
     node.room_came();
