--- a/crates/dispatch/src/share.rs
+++ b/crates/dispatch/src/share.rs
@@ -167,7 +167,7 @@
     }
 
     /// Records the demand of a customer, in tokens.
-    pub fn ask(&mut self, customer: CustomerTag, tokens: u64, now: Duration) {
+    pub fn record_demand(&mut self, customer: CustomerTag, tokens: u64, now: Duration) {
         let number = self.number(now);
         self.own.entry(customer).or_default().part(number).asked += tokens;
     }
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -274,7 +274,7 @@
 fn shares_hold_over_all_routers_once_more_is_asked_than_granted() {
     let (small, large) = (CustomerTag(1), CustomerTag(2));
     let mut shares = Shares::new(ms(4000));
-    shares.ask(small, 100, ms(0));
+    shares.record_demand(small, 100, ms(0));
     shares.grant(small, 100, ms(0));
     assert!(shares.cover(large, 10_000, ms(0)) >= 1.0);
     let peer = dunlinward_dispatch::report::CustomerUse {
@@ -293,11 +293,11 @@
 fn small_customers_that_get_all_are_not_told_and_the_level_stays_the_same() {
     let mut shares = Shares::new(ms(4000));
     for number in 0..100 {
-        shares.ask(CustomerTag(number), 10, ms(0));
+        shares.record_demand(CustomerTag(number), 10, ms(0));
         shares.grant(CustomerTag(number), 10, ms(0));
     }
     for (number, asked, granted) in [(200, 9_000, 4_000), (201, 5_000, 4_000), (202, 30, 20)] {
-        shares.ask(CustomerTag(number), asked, ms(0));
+        shares.record_demand(CustomerTag(number), asked, ms(0));
         shares.grant(CustomerTag(number), granted, ms(0));
     }
     let told = shares.report(ms(0));
@@ -537,7 +537,7 @@
 fn a_fleet_that_has_granted_nothing_yet_has_no_level() {
     let mut shares = Shares::new(ms(4_000));
     let customer = CustomerTag(1);
-    shares.ask(customer, 1_000, ms(0));
+    shares.record_demand(customer, 1_000, ms(0));
     assert_eq!(
         shares.cover(customer, 1_000, ms(0)).to_bits(),
         1.0f64.to_bits()
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -30,7 +30,7 @@
         if let Some(customer) = wish.customer
             && !wish.counted
         {
-            self.shares.ask(customer, wish.cost, now);
+            self.shares.record_demand(customer, wish.cost, now);
         }
     }
 
