--- a/crates/dispatch/src/share.rs
+++ b/crates/dispatch/src/share.rs
@@ -173,7 +173,7 @@
     }
 
     /// Charges a customer for a place granted to one of its requests.
-    pub fn grant(&mut self, customer: CustomerTag, tokens: u64, now: Duration) -> Charge {
+    pub fn charge(&mut self, customer: CustomerTag, tokens: u64, now: Duration) -> Charge {
         let part = self.number(now);
         self.own.entry(customer).or_default().part(part).granted += tokens;
         Charge {
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -275,7 +275,7 @@
     let (small, large) = (CustomerTag(1), CustomerTag(2));
     let mut shares = Shares::new(ms(4000));
     shares.record_demand(small, 100, ms(0));
-    shares.grant(small, 100, ms(0));
+    shares.charge(small, 100, ms(0));
     assert!(shares.cover(large, 10_000, ms(0)) >= 1.0);
     let peer = dunlinward_dispatch::report::CustomerUse {
         tag: large,
@@ -294,11 +294,11 @@
     let mut shares = Shares::new(ms(4000));
     for number in 0..100 {
         shares.record_demand(CustomerTag(number), 10, ms(0));
-        shares.grant(CustomerTag(number), 10, ms(0));
+        shares.charge(CustomerTag(number), 10, ms(0));
     }
     for (number, asked, granted) in [(200, 9_000, 4_000), (201, 5_000, 4_000), (202, 30, 20)] {
         shares.record_demand(CustomerTag(number), asked, ms(0));
-        shares.grant(CustomerTag(number), granted, ms(0));
+        shares.charge(CustomerTag(number), granted, ms(0));
     }
     let told = shares.report(ms(0));
     let mut tags: Vec<_> = told.iter().map(|it| it.tag.0).collect();
@@ -317,7 +317,7 @@
 fn what_was_used_leaves_the_window() {
     let customer = CustomerTag(1);
     let mut shares = Shares::new(ms(4000));
-    shares.grant(customer, 100, ms(0));
+    shares.charge(customer, 100, ms(0));
     assert_eq!(shares.granted(customer, ms(3000)), 100);
     assert_eq!(shares.granted(customer, ms(4600)), 0);
 }
--- a/crates/dispatch/tests/grants.rs
+++ b/crates/dispatch/tests/grants.rs
@@ -36,7 +36,7 @@
             fetch: None,
             standing: None,
         };
-        let charge = Some(shares.grant(CUSTOMER, 100, now));
+        let charge = Some(shares.charge(CUSTOMER, 100, now));
         let lease = Lease {
             grant,
             charge,
@@ -126,11 +126,11 @@
 #[test]
 fn a_charge_that_has_left_the_window_is_not_refunded_from_later_ones() {
     let mut shares = Shares::new(WINDOW);
-    let old = shares.grant(CUSTOMER, 100, ms(0));
-    let new = shares.grant(CUSTOMER, 30, ms(2_000));
+    let old = shares.charge(CUSTOMER, 100, ms(0));
+    let new = shares.charge(CUSTOMER, 30, ms(2_000));
     shares.take_back(old, ms(3_900));
     assert_eq!(shares.granted(CUSTOMER, ms(3_900)), 30);
-    let later = shares.grant(CUSTOMER, 5, ms(4_100));
+    let later = shares.charge(CUSTOMER, 5, ms(4_100));
     shares.take_back(old, ms(4_100));
     assert_eq!(shares.granted(CUSTOMER, ms(4_100)), 35);
     shares.take_back(new, ms(4_100));
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -264,7 +264,7 @@
 
     fn charge(&mut self, wish: &Wish, now: Duration) -> Option<Charge> {
         let customer = wish.customer?;
-        Some(self.shares.grant(customer, wish.cost, now))
+        Some(self.shares.charge(customer, wish.cost, now))
     }
 
     fn standing(&mut self, wish: &Wish, now: Duration) -> Option<Standing> {
