--- a/crates/dispatch/src/share.rs
+++ b/crates/dispatch/src/share.rs
@@ -184,7 +184,7 @@
     }
 
     /// Refunds the charge for a place that is not used.
-    pub fn take_back(&mut self, charge: Charge, now: Duration) {
+    pub fn refund(&mut self, charge: Charge, now: Duration) {
         let number = self.number(now);
         if let Some(account) = self.own.get_mut(&charge.customer) {
             account.refund(charge, number);
--- a/crates/dispatch/tests/grants.rs
+++ b/crates/dispatch/tests/grants.rs
@@ -49,7 +49,7 @@
 
 fn refund(shares: &mut Shares, end: Option<End>, now: Duration) {
     if let Some(charge) = end.and_then(|it| it.lease.charge) {
-        shares.take_back(charge, now);
+        shares.refund(charge, now);
     }
 }
 
@@ -128,12 +128,12 @@
     let mut shares = Shares::new(WINDOW);
     let old = shares.charge(CUSTOMER, 100, ms(0));
     let new = shares.charge(CUSTOMER, 30, ms(2_000));
-    shares.take_back(old, ms(3_900));
+    shares.refund(old, ms(3_900));
     assert_eq!(shares.granted(CUSTOMER, ms(3_900)), 30);
     let later = shares.charge(CUSTOMER, 5, ms(4_100));
-    shares.take_back(old, ms(4_100));
+    shares.refund(old, ms(4_100));
     assert_eq!(shares.granted(CUSTOMER, ms(4_100)), 35);
-    shares.take_back(new, ms(4_100));
-    shares.take_back(later, ms(4_100));
+    shares.refund(new, ms(4_100));
+    shares.refund(later, ms(4_100));
     assert_eq!(shares.granted(CUSTOMER, ms(4_100)), 0);
 }
--- a/crates/path/src/state/ended.rs
+++ b/crates/path/src/state/ended.rs
@@ -95,7 +95,7 @@
     /// charges taken back (`tests`).
     pub(crate) fn take_back(&mut self, charge: Option<Charge>, now: Duration) {
         if let Some(charge) = charge {
-            self.shares.take_back(charge, now);
+            self.shares.refund(charge, now);
         }
     }
 }
