--- a/crates/dispatch/src/share.rs
+++ b/crates/dispatch/src/share.rs
@@ -229,7 +229,7 @@
 
     /// Ratio of a customer's share to its usage including `tokens` more: 1 or more within its
     /// share, less beyond it.
-    pub fn cover(&mut self, customer: CustomerTag, tokens: u64, now: Duration) -> f64 {
+    pub fn share_ratio(&mut self, customer: CustomerTag, tokens: u64, now: Duration) -> f64 {
         self.refresh(now);
         let Some(level) = self.level else {
             return 1.0;
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -276,17 +276,17 @@
     let mut shares = Shares::new(ms(4000));
     shares.record_demand(small, 100, ms(0));
     shares.charge(small, 100, ms(0));
-    assert!(shares.cover(large, 10_000, ms(0)) >= 1.0);
+    assert!(shares.share_ratio(large, 10_000, ms(0)) >= 1.0);
     let peer = dunlinward_dispatch::report::CustomerUse {
         tag: large,
         asked: 9000,
         granted: 900,
     };
     shares.record_peer(Peer(3), &[peer], ms(100));
-    assert!(shares.cover(large, 10, ms(100)) < 1.0);
-    assert!(shares.cover(large, 910, ms(100)) < 0.6);
-    assert!(shares.cover(small, 10, ms(100)) >= 1.0);
-    assert!(shares.cover(large, 10, ms(6000)) >= 1.0);
+    assert!(shares.share_ratio(large, 10, ms(100)) < 1.0);
+    assert!(shares.share_ratio(large, 910, ms(100)) < 0.6);
+    assert!(shares.share_ratio(small, 10, ms(100)) >= 1.0);
+    assert!(shares.share_ratio(large, 10, ms(6000)) >= 1.0);
 }
 
 #[test]
@@ -307,7 +307,7 @@
     let mut other = Shares::new(ms(4000));
     other.record_peer(Peer(1), &told, ms(0));
     let level = |shares: &mut Shares| {
-        shares.cover(CustomerTag(200), 1, ms(0));
+        shares.share_ratio(CustomerTag(200), 1, ms(0));
         shares.standing(CustomerTag(200), ms(0)).level
     };
     assert_eq!(level(&mut shares), level(&mut other));
@@ -539,7 +539,7 @@
     let customer = CustomerTag(1);
     shares.record_demand(customer, 1_000, ms(0));
     assert_eq!(
-        shares.cover(customer, 1_000, ms(0)).to_bits(),
+        shares.share_ratio(customer, 1_000, ms(0)).to_bits(),
         1.0f64.to_bits()
     );
     assert_eq!(shares.standing(customer, ms(0)).level, None);
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -112,7 +112,7 @@
         let Some(customer) = wish.customer else {
             return 1.0;
         };
-        self.shares.cover(customer, wish.cost, now)
+        self.shares.share_ratio(customer, wish.cost, now)
     }
 
     pub(crate) fn choose(
