--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -56,7 +56,7 @@
     }
 
     /// Spends one repeat for a service; `false` if the part of this router is exhausted.
-    pub fn take(&mut self, service: &Arc<str>, routers: usize, now: Duration) -> bool {
+    pub fn try_take(&mut self, service: &Arc<str>, routers: usize, now: Duration) -> bool {
         let window = self.windows.entry(service.clone()).or_default();
         trim(window, now, self.bound.window);
         #[expect(clippy::cast_precision_loss, reason = "counts are small")]
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -346,7 +346,7 @@
                 budgets[router].request(&service, now);
                 requests.push(now);
             }
-            if budgets[router].take(&service, routers, now) {
+            if budgets[router].try_take(&service, routers, now) {
                 repeats.push(now);
             }
         }
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -354,7 +354,7 @@
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let routers = state.members.count();
-        let allowed = state.budget.take(service, routers, now);
+        let allowed = state.budget.try_take(service, routers, now);
         let label = if allowed { "taken" } else { "refused" };
         self.metrics.add("repeats", label, 1);
         allowed
