--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -49,7 +49,7 @@
     }
 
     /// Records a request for a service.
-    pub fn request(&mut self, service: &Arc<str>, now: Duration) {
+    pub fn record_request(&mut self, service: &Arc<str>, now: Duration) {
         let window = self.windows.entry(service.clone()).or_default();
         window.requests.push_back(now);
         trim(window, now, self.bound.window);
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -343,7 +343,7 @@
                 budgets[router] = Budget::new(bound);
             }
             if random.random_ratio(1, 3) {
-                budgets[router].request(&service, now);
+                budgets[router].record_request(&service, now);
                 requests.push(now);
             }
             if budgets[router].try_take(&service, routers, now) {
--- a/crates/path/src/admission.rs
+++ b/crates/path/src/admission.rs
@@ -103,7 +103,7 @@
     let now = node.now();
     let returning = {
         let mut state = node.state.borrow_mut();
-        state.budget.request(&service, now);
+        state.budget.record_request(&service, now);
         state.tries.later(&route.name, left, route.timeout)
     };
     Job {
