--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -28,12 +28,12 @@
 use dunlinward_dispatch::region::{Allowed, Region};
 use dunlinward_dispatch::registry::{Change, Delta, Listing, Registry};
 use dunlinward_dispatch::report::{CustomerTag, Views};
+use dunlinward_dispatch::retry::Tries;
 use dunlinward_dispatch::returns::Returns;
 use dunlinward_dispatch::roundtrip::RoundTrips;
 use dunlinward_dispatch::share::{self, Shares};
 use dunlinward_dispatch::store::{Era, Position, Sight};
 use dunlinward_dispatch::target::{Tag, Target};
-use dunlinward_dispatch::tries::Tries;
 use dunlinward_dispatch::usage::{Peer, Usage};
 
 use crate::node::{List, Told};
