--- a/crates/dispatch/src/retry.rs
+++ b/crates/dispatch/src/retry.rs
@@ -77,11 +77,11 @@
 
 /// Timeouts that clients send, by route.
 #[derive(Clone, Debug, Default)]
-pub struct Tries {
+pub struct Detector {
     by_route: HashMap<Arc<str>, Timeouts>,
 }
 
-impl Tries {
+impl Detector {
     /// Creates an empty record.
     #[must_use]
     pub fn new() -> Self {
--- a/crates/dispatch/tests/memory.rs
+++ b/crates/dispatch/tests/memory.rs
@@ -6,7 +6,7 @@
 use dunlinward_dispatch::cache::{Caches, Entry, Finding, Held, News, Question, STALE};
 use dunlinward_dispatch::placement::{self, Ask, Candidate, Policy};
 use dunlinward_dispatch::prefix::{self, Part, Prompt};
-use dunlinward_dispatch::retry::Tries;
+use dunlinward_dispatch::retry::Detector;
 use dunlinward_dispatch::target::{State, Tag, Target};
 use dunlinward_dispatch::usage::Load;
 use rand::{Rng, SeedableRng};
@@ -292,7 +292,7 @@
 #[test]
 fn later_tries_are_told_by_times_that_come_seldom_whatever_the_limit() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
-    let (route, mut tries): (Arc<str>, _) = ("r".into(), Tries::new());
+    let (route, mut tries): (Arc<str>, _) = ("r".into(), Detector::new());
     let mut wrong = 0;
     for number in 0..2_000 {
         let limit = if (600..1_200).contains(&number) {
@@ -313,7 +313,7 @@
 
 #[test]
 fn a_route_with_few_requests_or_two_kinds_of_callers_has_first_tries() {
-    let (route, mut tries): (Arc<str>, _) = ("r".into(), Tries::new());
+    let (route, mut tries): (Arc<str>, _) = ("r".into(), Detector::new());
     assert!(!tries.later(&route, ms(14_980), ms(15_000)));
     assert!(tries.later(&route, ms(14_500), ms(15_000)));
     for _ in 0..50 {
@@ -332,7 +332,7 @@
 #[test]
 fn first_tries_with_times_of_their_own_are_not_taken_for_later_ones() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
-    let (route, mut tries): (Arc<str>, _) = ("r".into(), Tries::new());
+    let (route, mut tries): (Arc<str>, _) = ("r".into(), Detector::new());
     let mut later = 0;
     for _ in 0..2_000 {
         let time = random.random_range(8_500..=10_000);
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -28,7 +28,7 @@
 use dunlinward_dispatch::region::{Allowed, Region};
 use dunlinward_dispatch::registry::{Change, Delta, Listing, Registry};
 use dunlinward_dispatch::report::{CustomerTag, Views};
-use dunlinward_dispatch::retry::Tries;
+use dunlinward_dispatch::retry::Detector;
 use dunlinward_dispatch::returns::Returns;
 use dunlinward_dispatch::roundtrip::RoundTrips;
 use dunlinward_dispatch::share::{self, Shares};
@@ -141,7 +141,7 @@
     /// Cells of other regions that had no room for a customer's request from here, and when.
     short: HashMap<(Cell, Option<CustomerTag>), Duration>,
     /// Which callers come back.
-    pub(crate) tries: Tries,
+    pub(crate) tries: Detector,
     /// Requests that found no room at this router's cells.
     pub(crate) returns: Returns,
     /// Which routers are alive.
@@ -200,7 +200,7 @@
             round_trips: RoundTrips::default(),
             region: settings.regions.of(&settings.domain),
             short: HashMap::new(),
-            tries: Tries::new(),
+            tries: Detector::new(),
             returns: Returns::default(),
             membership: Membership::new(card.clone(), &settings.seeds, settings.report_interval),
             members: Members::new(card).with_regions(settings.regions.clone()),
