--- a/crates/dispatch/src/retry.rs
+++ b/crates/dispatch/src/retry.rs
@@ -90,7 +90,7 @@
 
     /// Records a request with a `timeout` on a route with a `limit`; returns whether it is a retry.
     #[expect(clippy::cast_possible_truncation, reason = "milliseconds of a request")]
-    pub fn later(&mut self, route: &Arc<str>, timeout: Duration, limit: Duration) -> bool {
+    pub fn record(&mut self, route: &Arc<str>, timeout: Duration, limit: Duration) -> bool {
         let milliseconds = timeout.as_millis() as u64;
         let timeouts = self.by_route.entry(route.clone()).or_default();
         timeouts.record(milliseconds);
--- a/crates/dispatch/tests/memory.rs
+++ b/crates/dispatch/tests/memory.rs
@@ -306,7 +306,7 @@
         } else {
             15_000
         };
-        wrong += u32::from(tries.later(&route, ms(time), ms(limit)) != later);
+        wrong += u32::from(tries.record(&route, ms(time), ms(limit)) != later);
     }
     assert_eq!(wrong, 0);
 }
@@ -314,17 +314,17 @@
 #[test]
 fn a_route_with_few_requests_or_two_kinds_of_callers_has_first_tries() {
     let (route, mut tries): (Arc<str>, _) = ("r".into(), Detector::new());
-    assert!(!tries.later(&route, ms(14_980), ms(15_000)));
-    assert!(tries.later(&route, ms(14_500), ms(15_000)));
+    assert!(!tries.record(&route, ms(14_980), ms(15_000)));
+    assert!(tries.record(&route, ms(14_500), ms(15_000)));
     for _ in 0..50 {
-        tries.later(&route, ms(15_000), ms(15_000));
-        tries.later(&route, ms(3_000), ms(15_000));
+        tries.record(&route, ms(15_000), ms(15_000));
+        tries.record(&route, ms(3_000), ms(15_000));
     }
-    assert!(!tries.later(&route, ms(3_000), ms(15_000)));
-    assert!(!tries.later(&route, ms(15_000), ms(15_000)));
-    assert!(tries.later(&route, ms(2_600), ms(15_000)));
+    assert!(!tries.record(&route, ms(3_000), ms(15_000)));
+    assert!(!tries.record(&route, ms(15_000), ms(15_000)));
+    assert!(tries.record(&route, ms(2_600), ms(15_000)));
     tries.retain(|_| false);
-    assert!(!tries.later(&route, ms(15_000), ms(15_000)));
+    assert!(!tries.record(&route, ms(15_000), ms(15_000)));
 }
 
 /// Each caller has a time of its own, 8.5 to 10 s, and the route a limit of 10 s: with the limit as
@@ -336,7 +336,7 @@
     let mut later = 0;
     for _ in 0..2_000 {
         let time = random.random_range(8_500..=10_000);
-        later += u32::from(tries.later(&route, ms(time), ms(10_000)));
+        later += u32::from(tries.record(&route, ms(time), ms(10_000)));
     }
     assert!(later <= 10, "{later}");
 }
