--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -18,7 +18,7 @@
 //! - [`prefix`], [`cache`], [`placement`]: choice of the target that runs a request.
 //! - [`grants`]: places granted to other routers, and which of them are not used.
 //! - [`share`]: token usage and fair share of each customer.
-//! - [`retry`], [`returns`]: distinction of first attempts of clients from retries.
+//! - [`retry`], [`refused`]: distinction of first attempts of clients from retries.
 //! - [`budget`]: limit on how often requests are sent again.
 //! - [`health`]: failing targets that are ejected for a while.
 //! - [`reach`]: failure domains that may be unreachable.
@@ -47,11 +47,11 @@
 pub mod quarantine;
 pub mod reach;
 pub mod reading;
+pub mod refused;
 pub mod region;
 pub mod registry;
 pub mod report;
 pub mod retry;
-pub mod returns;
 pub mod roundtrip;
 pub mod share;
 pub mod store;
--- a/crates/dispatch/src/retry.rs
+++ b/crates/dispatch/src/retry.rs
@@ -96,7 +96,7 @@
         timeouts.record(milliseconds);
         match timeouts.longest_frequent() {
             Some(longest) => milliseconds < longest && !timeouts.is_frequent(milliseconds),
-            // Owners recognize requests that are sent to them again (`crate::returns`).
+            // Owners recognize requests that are sent to them again (`crate::refused`).
             None if timeouts.is_spread() => false,
             None => timeout + RETRY_MARGIN < limit,
         }
