--- a/crates/dispatch/src/refused.rs
+++ b/crates/dispatch/src/refused.rs
@@ -21,11 +21,11 @@
 
 /// Contents of recently refused requests.
 #[derive(Clone, Debug, Default)]
-pub struct Returns {
+pub struct Contents {
     refused: HashMap<ContentTag, Duration>,
 }
 
-impl Returns {
+impl Contents {
     /// Records a request that left the queue before there was room for it; does nothing if the
     /// table is full.
     pub fn refused(&mut self, content: ContentTag, now: Duration) {
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -25,7 +25,7 @@
 use dunlinward_dispatch::quarantine::Ledger;
 use dunlinward_dispatch::reach::Reach;
 use dunlinward_dispatch::reading::{Reading, Readings};
-use dunlinward_dispatch::refused::Returns;
+use dunlinward_dispatch::refused::Contents;
 use dunlinward_dispatch::region::{Allowed, Region};
 use dunlinward_dispatch::registry::{Change, Delta, Listing, Registry};
 use dunlinward_dispatch::report::{CustomerTag, Views};
@@ -143,7 +143,7 @@
     /// Which callers come back.
     pub(crate) tries: Detector,
     /// Requests that found no room at this router's cells.
-    pub(crate) returns: Returns,
+    pub(crate) returns: Contents,
     /// Which routers are alive.
     pub(crate) membership: Membership,
     /// Which of them owns what.
@@ -201,7 +201,7 @@
             region: settings.regions.of(&settings.domain),
             short: HashMap::new(),
             tries: Detector::new(),
-            returns: Returns::default(),
+            returns: Contents::default(),
             membership: Membership::new(card.clone(), &settings.seeds, settings.report_interval),
             members: Members::new(card).with_regions(settings.regions.clone()),
             queue: Vec::new(),
