--- a/crates/dispatch/src/refused.rs
+++ b/crates/dispatch/src/refused.rs
@@ -28,7 +28,7 @@
 impl Contents {
     /// Records a request that left the queue before there was room for it; does nothing if the
     /// table is full.
-    pub fn refused(&mut self, content: ContentTag, now: Duration) {
+    pub fn insert(&mut self, content: ContentTag, now: Duration) {
         if self.refused.len() < MAX_ENTRIES || self.refused.contains_key(&content) {
             self.refused.insert(content, now);
         }
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -88,7 +88,7 @@
     /// A request leaves the queue without a place.
     pub(crate) fn refuse(&mut self, wish: &Wish, now: Duration) {
         if let Some(content) = wish.content {
-            self.returns.refused(content, now);
+            self.returns.insert(content, now);
         }
     }
 
