--- a/crates/dispatch/src/refused.rs
+++ b/crates/dispatch/src/refused.rs
@@ -36,7 +36,7 @@
 
     /// Whether a request with this content is a retry of a refused one.
     #[must_use]
-    pub fn returning(&self, content: ContentTag, now: Duration) -> bool {
+    pub fn contains(&self, content: ContentTag, now: Duration) -> bool {
         let at = self.refused.get(&content);
         at.is_some_and(|at| now.saturating_sub(*at) < RETENTION)
     }
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -82,7 +82,7 @@
     /// Whether the caller of a request was refused before, as far as is known here.
     pub(crate) fn returns(&self, wish: &Wish, now: Duration) -> bool {
         wish.content
-            .is_some_and(|it| self.returns.returning(it, now))
+            .is_some_and(|it| self.returns.contains(it, now))
     }
 
     /// A request leaves the queue without a place.
