--- a/crates/dispatch/src/grants.rs
+++ b/crates/dispatch/src/grants.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use crate::content::ContentTag;
+use crate::message::{CustomerTag, Grant};
 use crate::prefix::Use;
-use crate::report::{CustomerTag, Grant};
 use crate::share::Charge;
 use crate::usage::{PEER_TIMEOUT, Peer};
 
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -25,7 +25,7 @@
 //! - [`reading`]: times at which views were read, as exchanged between routers.
 //! - [`turn`]: which router reads a view from the store, and when.
 //! - [`region`], [`roundtrip`]: proximity of failure domains, and round-trip times.
-//! - [`report`]: messages between routers.
+//! - [`message`]: messages between routers.
 
 pub mod backoff;
 pub mod budget;
@@ -42,6 +42,7 @@
 pub mod leaving;
 pub mod member;
 pub mod membership;
+pub mod message;
 pub mod placement;
 pub mod prefix;
 pub mod quarantine;
@@ -50,7 +51,6 @@
 pub mod refused;
 pub mod region;
 pub mod registry;
-pub mod report;
 pub mod retry;
 pub mod roundtrip;
 pub mod share;
--- a/crates/dispatch/src/share.rs
+++ b/crates/dispatch/src/share.rs
@@ -19,8 +19,8 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh64::xxh64;
 
+use crate::message::{CustomerTag, CustomerUse};
 use crate::prefix::Prompt;
-use crate::report::{CustomerTag, CustomerUse};
 use crate::usage::{PEER_TIMEOUT, Peer};
 
 /// Number of parts into which the window is divided.
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -8,11 +8,11 @@
     Configuration, Customer, Kind, Limits, Route, Share, Table,
 };
 use dunlinward_dispatch::health::{Health, Outcome};
+use dunlinward_dispatch::message::CustomerTag;
 use dunlinward_dispatch::placement::{self, Ask, Candidate, Policy};
 use dunlinward_dispatch::prefix::{self, Memory, Part, Prefix, Prompt, Use};
 use dunlinward_dispatch::reach::Reach;
 use dunlinward_dispatch::registry::{Change, OUTAGE, RETURN_TIME, Registry};
-use dunlinward_dispatch::report::CustomerTag;
 use dunlinward_dispatch::share::{self, Shares};
 use dunlinward_dispatch::target::{State, Tag, Target};
 use dunlinward_dispatch::usage::{Load, PEER_TIMEOUT, Peer, Usage};
@@ -277,7 +277,7 @@
     shares.record_demand(small, 100, ms(0));
     shares.charge(small, 100, ms(0));
     assert!(shares.share_ratio(large, 10_000, ms(0)) >= 1.0);
-    let peer = dunlinward_dispatch::report::CustomerUse {
+    let peer = dunlinward_dispatch::message::CustomerUse {
         tag: large,
         asked: 9000,
         granted: 900,
--- a/crates/dispatch/tests/grants.rs
+++ b/crates/dispatch/tests/grants.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dunlinward_dispatch::grants::{End, Grants, LEASE_TIMEOUT, Lease, Reason, RequestId};
-use dunlinward_dispatch::report::{CustomerTag, Grant};
+use dunlinward_dispatch::message::{CustomerTag, Grant};
 use dunlinward_dispatch::share::Shares;
 use dunlinward_dispatch::target::Tag;
 use dunlinward_dispatch::usage::Peer;
--- a/crates/dispatch/tests/messages.rs
+++ b/crates/dispatch/tests/messages.rs
@@ -7,11 +7,11 @@
 use dunlinward_dispatch::content::ContentTag;
 use dunlinward_dispatch::member::Card;
 use dunlinward_dispatch::membership::{Kind, Packet, Update};
-use dunlinward_dispatch::prefix::{Part, Prompt};
-use dunlinward_dispatch::region::Region;
-use dunlinward_dispatch::report::{
+use dunlinward_dispatch::message::{
     Ask, Content, CustomerTag, CustomerUse, Grant, Greeting, Return, TargetLoad, Views, Work,
 };
+use dunlinward_dispatch::prefix::{Part, Prompt};
+use dunlinward_dispatch::region::Region;
 use dunlinward_dispatch::share::Standing;
 use dunlinward_dispatch::target::Tag;
 use dunlinward_dispatch::usage::{Load, Peer};
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -15,15 +15,15 @@
 use dunlinward_dispatch::content::ContentTag;
 use dunlinward_dispatch::member::{Card, Condition, Members};
 use dunlinward_dispatch::membership::{Kind, Packet, Update};
+use dunlinward_dispatch::message::{
+    Ask, Content, CustomerTag, CustomerUse, Grant, Greeting, Message, Return, TargetLoad, Views,
+    Work,
+};
 use dunlinward_dispatch::placement::{self, Ask as Wanted, Candidate, Policy};
 use dunlinward_dispatch::prefix::{Part, Prompt};
 use dunlinward_dispatch::reading::Reading;
 use dunlinward_dispatch::region::Region;
 use dunlinward_dispatch::registry::Registry;
-use dunlinward_dispatch::report::{
-    Ask, Content, CustomerTag, CustomerUse, Grant, Greeting, Message, Return, TargetLoad, Views,
-    Work,
-};
 use dunlinward_dispatch::share::Standing;
 use dunlinward_dispatch::store::Position;
 use dunlinward_dispatch::target::{State, Tag, Target};
--- a/crates/path/src/courier.rs
+++ b/crates/path/src/courier.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 use bincode::config::standard;
-use dunlinward_dispatch::report::{Content, Message};
+use dunlinward_dispatch::message::{Content, Message};
 use tokio::net::UdpSocket;
 
 use crate::node::Node;
--- a/crates/path/src/cut.rs
+++ b/crates/path/src/cut.rs
@@ -15,8 +15,8 @@
 use dunlinward_dispatch::content::Digest;
 use dunlinward_dispatch::cuts::Telling;
 use dunlinward_dispatch::health::Outcome;
+use dunlinward_dispatch::message::Content;
 use dunlinward_dispatch::quarantine::{Fate, Finding};
-use dunlinward_dispatch::report::Content;
 use dunlinward_dispatch::target::{State as Condition, Target};
 
 use crate::node::Node;
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use dunlinward_dispatch::membership::{Change, Effects};
-use dunlinward_dispatch::report::{Content, Greeting, Views};
+use dunlinward_dispatch::message::{Content, Greeting, Views};
 
 use crate::leaving;
 use crate::node::Node;
--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -10,7 +10,7 @@
 use dunlinward_dispatch::cell;
 use dunlinward_dispatch::content::{ContentTag, Digest};
 use dunlinward_dispatch::health::Outcome;
-use dunlinward_dispatch::report::{Content, Return};
+use dunlinward_dispatch::message::{Content, Return};
 use dunlinward_dispatch::share::{Charge, Standing};
 use dunlinward_dispatch::target::Target;
 
--- a/crates/path/src/leaving.rs
+++ b/crates/path/src/leaving.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use dunlinward_dispatch::leaving::{Report, Word};
+use dunlinward_dispatch::message::Content;
 use dunlinward_dispatch::registry::Change;
-use dunlinward_dispatch::report::Content;
 use dunlinward_dispatch::target::Target;
 
 use crate::gossip;
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -12,9 +12,9 @@
 
 use dunlinward_dispatch::cell::Cell;
 use dunlinward_dispatch::health::Outcome;
+use dunlinward_dispatch::message::{Ask, Content, Return, TargetLoad, Work};
 use dunlinward_dispatch::prefix::Use;
 use dunlinward_dispatch::region::Allowed;
-use dunlinward_dispatch::report::{Ask, Content, Return, TargetLoad, Work};
 use dunlinward_dispatch::target::Tag;
 use dunlinward_dispatch::usage::Peer;
 
--- a/crates/path/src/pending.rs
+++ b/crates/path/src/pending.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use dunlinward_dispatch::report::{Grant, Wait};
+use dunlinward_dispatch::message::{Grant, Wait};
 use tokio::sync::mpsc;
 
 /// Reports in which a router says that it uses a place: one may be lost, and both come before the
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use dunlinward_dispatch::report::{Ask, Content, Grant, Wait};
+use dunlinward_dispatch::message::{Ask, Content, Grant, Wait};
 use dunlinward_dispatch::roundtrip::RoundTrip;
 use dunlinward_dispatch::share::Standing;
 use dunlinward_dispatch::target::{Tag, Target};
--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use dunlinward_dispatch::report::Content;
+use dunlinward_dispatch::message::Content;
 use dunlinward_dispatch::usage::Peer;
 use tokio::sync::oneshot;
 
--- a/crates/path/src/state/ended.rs
+++ b/crates/path/src/state/ended.rs
@@ -5,7 +5,7 @@
 
 use dunlinward_dispatch::grants::{End, Reason, RequestId};
 use dunlinward_dispatch::health::Outcome;
-use dunlinward_dispatch::report::Return;
+use dunlinward_dispatch::message::Return;
 use dunlinward_dispatch::share::Charge;
 use dunlinward_dispatch::target::Tag;
 use dunlinward_dispatch::usage::Peer;
--- a/crates/path/src/state/homes.rs
+++ b/crates/path/src/state/homes.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use dunlinward_dispatch::cell::{self, Cell, ServiceTag};
+use dunlinward_dispatch::message::CustomerTag;
 use dunlinward_dispatch::prefix::Prefix;
 use dunlinward_dispatch::region::{Allowed, Region};
-use dunlinward_dispatch::report::CustomerTag;
 use xxhash_rust::xxh64::xxh64;
 
 use super::{Opening, State};
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use dunlinward_dispatch::grants::{self, RequestId};
+use dunlinward_dispatch::message::{Content, CustomerTag, Grant, Wait};
 use dunlinward_dispatch::placement::{self, Ask, Choice};
 use dunlinward_dispatch::prefix::{self, Prompt, Use};
-use dunlinward_dispatch::report::{Content, CustomerTag, Grant, Wait};
 use dunlinward_dispatch::share::{Charge, Standing};
 use tokio::sync::oneshot;
 
