--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -153,7 +153,7 @@
     pub standing: Option<Standing>,
     /// Time for which no target of the cell accepts it, if the request times out before; it is not
     /// queued then.
-    pub closed_for: Option<Duration>,
+    pub unavailable_for: Option<Duration>,
 }
 
 /// A place that was used is free again.
@@ -249,7 +249,7 @@
             }
             Self::Greeting(greeting) => greeting.views.era.is_none_or(|it| it <= MAX_ERA),
             Self::Leaving(report) => report.plausible(),
-            Self::Wait(wait) => wait.closed_for.is_none_or(|it| it <= MAX_DURATION),
+            Self::Wait(wait) => wait.unavailable_for.is_none_or(|it| it <= MAX_DURATION),
             Self::Withdraw(_) | Self::Findings(_) => true,
         }
     }
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -133,7 +133,7 @@
             question.put(wish);
             match question.listen(time, until).await {
                 Some(Answer::Grant(grant)) => return question.accept(wish, grant),
-                Some(Answer::Wait(wait)) if wait.closed_for.is_some() => {
+                Some(Answer::Wait(wait)) if wait.unavailable_for.is_some() => {
                     return Asked::GivenUp(Some(wait));
                 }
                 Some(Answer::Wait(wait)) => {
@@ -169,7 +169,7 @@
     /// The refusal of a request that its owner had no place for.
     fn refusal(&self, wait: Option<Wait>) -> Refusal {
         let standing = wait.and_then(|it| it.standing);
-        let closed_for = wait.and_then(|it| it.closed_for);
+        let closed_for = wait.and_then(|it| it.unavailable_for);
         let refusal = match closed_for {
             Some(time) => self.backed_off(time),
             None => Refusal::new(reason(standing)),
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -103,7 +103,7 @@
             number,
             waiting: u32::try_from(self.queue.len()).unwrap_or(u32::MAX),
             standing: customer.map(|it| self.shares.standing(it, now)),
-            closed_for,
+            unavailable_for: closed_for,
         })
     }
 
--- a/crates/path/src/state/tests/refusing.rs
+++ b/crates/path/src/state/tests/refusing.rs
@@ -148,7 +148,7 @@
         let Content::Wait(wait) = answer else {
             panic!("there is no place: {answer:?}");
         };
-        assert_eq!(wait.closed_for.is_none(), waits);
+        assert_eq!(wait.unavailable_for.is_none(), waits);
         assert_eq!(fleet.owner.queue.len(), usize::from(waits));
         let end = fleet.owner.backoffs.next_end(START);
         assert_eq!(end, Some(START + time));
