--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -114,7 +114,7 @@
     /// Time since the request arrived.
     pub waited: Duration,
     /// Time for which it will still wait.
-    pub patience: Duration,
+    pub max_wait: Duration,
     /// Whether it is a retry of a refused request.
     pub returning: bool,
     /// Whether its tokens were already counted as demand.
@@ -257,7 +257,7 @@
 
 impl Ask {
     fn plausible(&self) -> bool {
-        let durations = [self.objective, self.waited, self.patience];
+        let durations = [self.objective, self.waited, self.max_wait];
         let counts = self.prompt.iter().flat_map(|it| {
             let parts = it.parts.iter().map(|it| it.tokens);
             parts.chain([it.tokens, it.answer_tokens])
--- a/crates/dispatch/tests/messages.rs
+++ b/crates/dispatch/tests/messages.rs
@@ -34,7 +34,7 @@
         cost: 20,
         objective: Duration::from_secs(2),
         waited: Duration::ZERO,
-        patience: Duration::from_millis(120),
+        max_wait: Duration::from_millis(120),
         returning: false,
         counted: false,
         failed: false,
@@ -111,7 +111,7 @@
     let max_tokens = u64::MAX;
     let asks = [
         Ask {
-            patience: max_duration,
+            max_wait: max_duration,
             ..ask()
         },
         Ask {
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -237,7 +237,7 @@
         cost: 17_240,
         objective: Duration::from_millis(800),
         waited: Duration::from_micros(300),
-        patience: Duration::from_millis(160),
+        max_wait: Duration::from_millis(160),
         returning: false,
         counted: false,
         failed: false,
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -67,7 +67,7 @@
             counted: ask.counted,
             failed: ask.failed,
             avoid: ask.avoid,
-            until: now + ask.patience,
+            until: now + ask.max_wait,
             claim: Claim::All,
             draw: node.draw(),
         };
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -266,7 +266,7 @@
             cost: wish.cost,
             objective: wish.objective,
             waited: now.saturating_sub(wish.arrived),
-            patience: wish.until.saturating_sub(now),
+            max_wait: wish.until.saturating_sub(now),
             returning: wish.returning,
             counted: wish.counted,
             failed: wish.failed,
