--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -118,7 +118,7 @@
     /// Whether it is a retry of a refused request.
     pub returning: bool,
     /// Whether its tokens were already counted as demand.
-    pub counted: bool,
+    pub demand_counted: bool,
     /// Whether it has failed at a target.
     pub failed: bool,
     /// Targets at which it, or the router that asks, has seen a failure.
--- a/crates/dispatch/tests/messages.rs
+++ b/crates/dispatch/tests/messages.rs
@@ -36,7 +36,7 @@
         waited: Duration::ZERO,
         max_wait: Duration::from_millis(120),
         returning: false,
-        counted: false,
+        demand_counted: false,
         failed: false,
         avoid: Vec::new(),
     }
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -239,7 +239,7 @@
         waited: Duration::from_micros(300),
         max_wait: Duration::from_millis(160),
         returning: false,
-        counted: false,
+        demand_counted: false,
         failed: false,
         avoid: Vec::new(),
     }
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -64,7 +64,7 @@
             objective: ask.objective,
             arrived: now.saturating_sub(ask.waited),
             returning: ask.returning,
-            counted: ask.counted,
+            counted: ask.demand_counted,
             failed: ask.failed,
             avoid: ask.avoid,
             until: now + ask.max_wait,
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -268,7 +268,7 @@
             waited: now.saturating_sub(wish.arrived),
             max_wait: wish.until.saturating_sub(now),
             returning: wish.returning,
-            counted: wish.counted,
+            demand_counted: wish.counted,
             failed: wish.failed,
             avoid: wish.avoid.clone(),
         };
