--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -116,7 +116,7 @@
     /// Time for which it will still wait.
     pub max_wait: Duration,
     /// Whether it is a retry of a refused request.
-    pub returning: bool,
+    pub is_retry: bool,
     /// Whether its tokens were already counted as demand.
     pub demand_counted: bool,
     /// Whether it has failed at a target.
--- a/crates/dispatch/tests/messages.rs
+++ b/crates/dispatch/tests/messages.rs
@@ -35,7 +35,7 @@
         objective: Duration::from_secs(2),
         waited: Duration::ZERO,
         max_wait: Duration::from_millis(120),
-        returning: false,
+        is_retry: false,
         demand_counted: false,
         failed: false,
         avoid: Vec::new(),
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -238,7 +238,7 @@
         objective: Duration::from_millis(800),
         waited: Duration::from_micros(300),
         max_wait: Duration::from_millis(160),
-        returning: false,
+        is_retry: false,
         demand_counted: false,
         failed: false,
         avoid: Vec::new(),
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -63,7 +63,7 @@
             cost: ask.cost,
             objective: ask.objective,
             arrived: now.saturating_sub(ask.waited),
-            returning: ask.returning,
+            returning: ask.is_retry,
             counted: ask.demand_counted,
             failed: ask.failed,
             avoid: ask.avoid,
