--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -87,7 +87,7 @@
 
 /// Membership gossip, and the versions of the sender's views of the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Greeting {
+pub struct Heartbeat {
     /// Membership packet.
     pub packet: Packet,
     /// The sender's views.
@@ -193,7 +193,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Content {
     /// The sender is alive.
-    Greeting(Greeting),
+    Greeting(Heartbeat),
     /// A place is asked for.
     Ask(Ask),
     /// A place is granted.
--- a/crates/dispatch/tests/messages.rs
+++ b/crates/dispatch/tests/messages.rs
@@ -8,7 +8,7 @@
 use dunlinward_dispatch::member::Card;
 use dunlinward_dispatch::membership::{Kind, Packet, Update};
 use dunlinward_dispatch::message::{
-    Ask, Content, CustomerTag, CustomerUse, Grant, Greeting, Return, TargetLoad, Views, Work,
+    Ask, Content, CustomerTag, CustomerUse, Grant, Heartbeat, Return, TargetLoad, Views, Work,
 };
 use dunlinward_dispatch::prefix::{Part, Prompt};
 use dunlinward_dispatch::region::Region;
@@ -193,7 +193,7 @@
         era: Some(era),
         leaving: 0,
     };
-    Content::Greeting(Greeting { packet, views })
+    Content::Greeting(Heartbeat { packet, views })
 }
 
 /// With such an era, all answers of the store would count as dating from before its last restore.
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -16,7 +16,7 @@
 use dunlinward_dispatch::member::{Card, Condition, Members};
 use dunlinward_dispatch::membership::{Kind, Packet, Update};
 use dunlinward_dispatch::message::{
-    Ask, Content, CustomerTag, CustomerUse, Grant, Greeting, Message, Return, TargetLoad, Views,
+    Ask, Content, CustomerTag, CustomerUse, Grant, Heartbeat, Message, Return, TargetLoad, Views,
     Work,
 };
 use dunlinward_dispatch::placement::{self, Ask as Wanted, Candidate, Policy};
@@ -185,7 +185,7 @@
     }
 }
 
-fn greeting() -> Greeting {
+fn greeting() -> Heartbeat {
     let packet = Packet {
         sender: Update::new(card(1)),
         digest: u32::MAX / 3,
@@ -211,7 +211,7 @@
         era: None,
         leaving: 0,
     };
-    Greeting { packet, views }
+    Heartbeat { packet, views }
 }
 
 fn prompt() -> Prompt {
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use dunlinward_dispatch::membership::{Change, Effects};
-use dunlinward_dispatch::message::{Content, Greeting, Views};
+use dunlinward_dispatch::message::{Content, Heartbeat, Views};
 
 use crate::leaving;
 use crate::node::Node;
@@ -78,7 +78,7 @@
         }
     }
     for letter in effects.outgoing {
-        let greeting = Greeting {
+        let greeting = Heartbeat {
             packet: letter.packet,
             views: views(node),
         };
@@ -111,7 +111,7 @@
         (some, state.membership.news())
     };
     let views = views(node);
-    node.send_all(&some, Content::Greeting(Greeting { packet, views }));
+    node.send_all(&some, Content::Greeting(Heartbeat { packet, views }));
 }
 
 fn views(node: &Node) -> Views {
@@ -131,8 +131,8 @@
 }
 
 /// Takes a greeting.
-pub fn hear(node: &Rc<Node>, greeting: Greeting) {
-    let Greeting { packet, views } = greeting;
+pub fn hear(node: &Rc<Node>, greeting: Heartbeat) {
+    let Heartbeat { packet, views } = greeting;
     let card = packet.sender.card.clone();
     if card.address == node.settings.link {
         return;
