--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -1,7 +1,7 @@
 //! Messages between routers, each in one datagram.
 //!
 //! Lost messages are made good by later ones: an unanswered request for a place is repeated, the
-//! load of a router at targets is reported in full several times a second, and greetings are sent
+//! load of a router at targets is reported in full several times a second, and heartbeats are sent
 //! for as long as the router runs.
 //!
 //! A message may come from a router of another version. Content that decodes but has values that
@@ -193,7 +193,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Content {
     /// The sender is alive.
-    Greeting(Heartbeat),
+    Heartbeat(Heartbeat),
     /// A place is asked for.
     Ask(Ask),
     /// A place is granted.
@@ -247,7 +247,7 @@
                     && customers.all(|it| in_range(it.asked) && in_range(it.granted))
                     && work.refusals.iter().all(|(_, it)| it.plausible())
             }
-            Self::Greeting(greeting) => greeting.views.era.is_none_or(|it| it <= MAX_ERA),
+            Self::Heartbeat(heartbeat) => heartbeat.views.era.is_none_or(|it| it <= MAX_ERA),
             Self::Leaving(report) => report.plausible(),
             Self::Wait(wait) => wait.unavailable_for.is_none_or(|it| it <= MAX_DURATION),
             Self::Withdraw(_) | Self::Findings(_) => true,
--- a/crates/dispatch/tests/messages.rs
+++ b/crates/dispatch/tests/messages.rs
@@ -193,7 +193,7 @@
         era: Some(era),
         leaving: 0,
     };
-    Content::Greeting(Heartbeat { packet, views })
+    Content::Heartbeat(Heartbeat { packet, views })
 }
 
 /// With such an era, all answers of the store would count as dating from before its last restore.
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -131,7 +131,7 @@
             refusal: None,
         };
         Self {
-            greeting: length(Content::Greeting(greeting())),
+            greeting: length(Content::Heartbeat(greeting())),
             ask: length(Content::Ask(ask())),
             grant: length(Content::Grant(Grant {
                 number: 70_000,
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -82,7 +82,7 @@
             packet: letter.packet,
             views: views(node),
         };
-        node.send(letter.to, Content::Greeting(greeting));
+        node.send(letter.to, Content::Heartbeat(greeting));
     }
 }
 
@@ -111,7 +111,7 @@
         (some, state.membership.news())
     };
     let views = views(node);
-    node.send_all(&some, Content::Greeting(Heartbeat { packet, views }));
+    node.send_all(&some, Content::Heartbeat(Heartbeat { packet, views }));
 }
 
 fn views(node: &Node) -> Views {
--- a/crates/path/src/inbox.rs
+++ b/crates/path/src/inbox.rs
@@ -91,7 +91,7 @@
 fn take(node: &Rc<Node>, message: Message, from: SocketAddr) {
     let sender = message.sender;
     match message.content {
-        Content::Greeting(greeting) => gossip::hear(node, greeting),
+        Content::Heartbeat(greeting) => gossip::hear(node, greeting),
         Content::Ask(ask) => owner::ask(node, sender, from, ask),
         Content::Grant(grant) => node.answer(from, grant.number, Answer::Grant(grant)),
         Content::Wait(wait) => node.answer(from, wait.number, Answer::Wait(wait)),
