--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -96,7 +96,7 @@
 
 /// A request for a place at a target of a cell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Request {
     /// Number of the request at the router that asks.
     pub number: u64,
     /// Cell in which the place is asked for.
@@ -195,7 +195,7 @@
     /// The sender is alive.
     Heartbeat(Heartbeat),
     /// A place is asked for.
-    Ask(Ask),
+    Ask(Request),
     /// A place is granted.
     Grant(Grant),
     /// A request is queued.
@@ -255,7 +255,7 @@
     }
 }
 
-impl Ask {
+impl Request {
     fn plausible(&self) -> bool {
         let durations = [self.objective, self.waited, self.max_wait];
         let counts = self.prompt.iter().flat_map(|it| {
--- a/crates/dispatch/tests/messages.rs
+++ b/crates/dispatch/tests/messages.rs
@@ -8,7 +8,7 @@
 use dunlinward_dispatch::member::Card;
 use dunlinward_dispatch::membership::{Kind, Packet, Update};
 use dunlinward_dispatch::message::{
-    Ask, Content, CustomerTag, CustomerUse, Grant, Heartbeat, Return, TargetLoad, Views, Work,
+    Content, CustomerTag, CustomerUse, Grant, Heartbeat, Request, Return, TargetLoad, Views, Work,
 };
 use dunlinward_dispatch::prefix::{Part, Prompt};
 use dunlinward_dispatch::region::Region;
@@ -16,8 +16,8 @@
 use dunlinward_dispatch::target::Tag;
 use dunlinward_dispatch::usage::{Load, Peer};
 
-fn ask() -> Ask {
-    Ask {
+fn ask() -> Request {
+    Request {
         number: 7,
         cell: Cell {
             service: ServiceTag::new("pool"),
@@ -110,37 +110,37 @@
     let max_duration = Duration::MAX;
     let max_tokens = u64::MAX;
     let asks = [
-        Ask {
+        Request {
             max_wait: max_duration,
             ..ask()
         },
-        Ask {
+        Request {
             objective: max_duration,
             ..ask()
         },
-        Ask {
+        Request {
             waited: max_duration,
             ..ask()
         },
-        Ask {
+        Request {
             cost: max_tokens,
             ..ask()
         },
-        Ask {
+        Request {
             prompt: Some(Prompt {
                 tokens: max_tokens,
                 ..Prompt::default()
             }),
             ..ask()
         },
-        Ask {
+        Request {
             prompt: Some(Prompt {
                 answer_tokens: max_tokens,
                 ..Prompt::default()
             }),
             ..ask()
         },
-        Ask {
+        Request {
             prompt: Some(Prompt {
                 parts: vec![Part {
                     id: 0,
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -16,8 +16,8 @@
 use dunlinward_dispatch::member::{Card, Condition, Members};
 use dunlinward_dispatch::membership::{Kind, Packet, Update};
 use dunlinward_dispatch::message::{
-    Ask, Content, CustomerTag, CustomerUse, Grant, Heartbeat, Message, Return, TargetLoad, Views,
-    Work,
+    Content, CustomerTag, CustomerUse, Grant, Heartbeat, Message, Request, Return, TargetLoad,
+    Views, Work,
 };
 use dunlinward_dispatch::placement::{self, Ask as Wanted, Candidate, Policy};
 use dunlinward_dispatch::prefix::{Part, Prompt};
@@ -227,8 +227,8 @@
     }
 }
 
-fn ask() -> Ask {
-    Ask {
+fn ask() -> Request {
+    Request {
         number: 70_000,
         cell: a_cell(),
         content: Some(ContentTag(u64::MAX / 5)),
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -12,7 +12,7 @@
 
 use dunlinward_dispatch::cell::Cell;
 use dunlinward_dispatch::health::Outcome;
-use dunlinward_dispatch::message::{Ask, Content, Return, TargetLoad, Work};
+use dunlinward_dispatch::message::{Content, Request, Return, TargetLoad, Work};
 use dunlinward_dispatch::prefix::Use;
 use dunlinward_dispatch::region::Allowed;
 use dunlinward_dispatch::target::Tag;
@@ -41,7 +41,7 @@
 const USES_MOST: usize = 400;
 
 /// A router asks for a place.
-pub fn ask(node: &Rc<Node>, peer: Peer, address: SocketAddr, ask: Ask) {
+pub fn ask(node: &Rc<Node>, peer: Peer, address: SocketAddr, ask: Request) {
     let now = node.now();
     let asker = Asker {
         peer,
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use dunlinward_dispatch::message::{Ask, Content, Grant, Wait};
+use dunlinward_dispatch::message::{Content, Grant, Request, Wait};
 use dunlinward_dispatch::roundtrip::RoundTrip;
 use dunlinward_dispatch::share::Standing;
 use dunlinward_dispatch::target::{Tag, Target};
@@ -257,7 +257,7 @@
 
     fn put(&self, wish: &Wish) {
         let now = self.node.now();
-        let ask = Ask {
+        let ask = Request {
             number: self.number,
             cell: wish.cell,
             content: wish.content,
