--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -195,7 +195,7 @@
     /// The sender is alive.
     Heartbeat(Heartbeat),
     /// A place is asked for.
-    Ask(Request),
+    Request(Request),
     /// A place is granted.
     Grant(Grant),
     /// A request is queued.
@@ -234,7 +234,7 @@
     pub fn plausible(&self) -> bool {
         let in_range = |tokens: u64| tokens <= MAX_TOKENS;
         match self {
-            Self::Ask(ask) => ask.plausible(),
+            Self::Request(request) => request.plausible(),
             Self::Grant(grant) => in_range(grant.unread),
             Self::Read { unread, .. } => in_range(*unread),
             Self::Return(returned) => {
--- a/crates/dispatch/tests/messages.rs
+++ b/crates/dispatch/tests/messages.rs
@@ -91,7 +91,7 @@
 #[test]
 fn messages_in_range_are_plausible() {
     let contents = [
-        Content::Ask(ask()),
+        Content::Request(ask()),
         Content::Grant(grant()),
         Content::Withdraw(u64::MAX),
         load(2_000_000),
@@ -151,7 +151,7 @@
             ..ask()
         },
     ];
-    let contents = asks.into_iter().map(Content::Ask).chain([
+    let contents = asks.into_iter().map(Content::Request).chain([
         Content::Grant(Grant {
             unread: max_tokens,
             ..grant()
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -132,7 +132,7 @@
         };
         Self {
             greeting: length(Content::Heartbeat(greeting())),
-            ask: length(Content::Ask(ask())),
+            ask: length(Content::Request(ask())),
             grant: length(Content::Grant(Grant {
                 number: 70_000,
                 tag,
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -272,7 +272,7 @@
             failed: wish.failed,
             avoid: wish.avoid.clone(),
         };
-        self.node.send(self.owner, Content::Ask(ask));
+        self.node.send(self.owner, Content::Request(ask));
     }
 
     async fn listen(&mut self, time: Duration, until: Duration) -> Option<Answer> {
