--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -176,7 +176,7 @@
 
 /// Load that the sender has at the targets of the receiver's cells.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Work {
+pub struct LoadReport {
     /// Load by target.
     pub loads: Vec<TargetLoad>,
     /// Prefixes recently sent to targets, for a new owner.
@@ -212,7 +212,7 @@
     /// A place that was used is free again.
     Return(Return),
     /// Load of the sender at targets.
-    Work(Work),
+    Work(LoadReport),
     /// The sender's findings on runs that did not end with an answer.
     Findings(Vec<Finding>),
     /// Targets that have announced that they leave.
--- a/crates/dispatch/tests/messages.rs
+++ b/crates/dispatch/tests/messages.rs
@@ -8,7 +8,8 @@
 use dunlinward_dispatch::member::Card;
 use dunlinward_dispatch::membership::{Kind, Packet, Update};
 use dunlinward_dispatch::message::{
-    Content, CustomerTag, CustomerUse, Grant, Heartbeat, Request, Return, TargetLoad, Views, Work,
+    Content, CustomerTag, CustomerUse, Grant, Heartbeat, LoadReport, Request, Return, TargetLoad,
+    Views,
 };
 use dunlinward_dispatch::prefix::{Part, Prompt};
 use dunlinward_dispatch::region::Region;
@@ -59,9 +60,9 @@
 fn load(unread: u64) -> Content {
     let tag = Tag::new("i-1");
     let load = Load { running: 1, unread };
-    Content::Work(Work {
+    Content::Work(LoadReport {
         loads: vec![TargetLoad { tag, load }],
-        ..Work::default()
+        ..LoadReport::default()
     })
 }
 
@@ -71,9 +72,9 @@
         asked: 20,
         granted,
     };
-    Content::Work(Work {
+    Content::Work(LoadReport {
         customers: vec![customer_use],
-        ..Work::default()
+        ..LoadReport::default()
     })
 }
 
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -16,8 +16,8 @@
 use dunlinward_dispatch::member::{Card, Condition, Members};
 use dunlinward_dispatch::membership::{Kind, Packet, Update};
 use dunlinward_dispatch::message::{
-    Content, CustomerTag, CustomerUse, Grant, Heartbeat, Message, Request, Return, TargetLoad,
-    Views, Work,
+    Content, CustomerTag, CustomerUse, Grant, Heartbeat, LoadReport, Message, Request, Return,
+    TargetLoad, Views,
 };
 use dunlinward_dispatch::placement::{self, Ask as Wanted, Candidate, Policy};
 use dunlinward_dispatch::prefix::{Part, Prompt};
@@ -254,7 +254,7 @@
 }
 
 /// A router's report to one owner: its requests of a second, spread over the cells.
-fn work(size: &Size) -> Work {
+fn work(size: &Size) -> LoadReport {
     let cells = f64::from(cells(size));
     let loads = (0u32..).take_while(|it| f64::from(*it) < size.requests / cells);
     let loads = loads.map(|number| TargetLoad {
@@ -267,23 +267,23 @@
     // Places that are used are named in two reports, 0.3 s apart.
     let accepted = (70_000u64..).zip(0u32..);
     let accepted = accepted.take_while(|(_, it)| f64::from(*it) < size.requests * 0.6 / cells);
-    Work {
+    LoadReport {
         loads: loads.collect(),
         accepted: accepted.map(|(number, _)| number).collect(),
-        ..Work::default()
+        ..LoadReport::default()
     }
 }
 
 /// What one owner tells another: a tenth of the customers is backlogged, and a few are large.
-fn fellow(size: &Size) -> Work {
+fn fellow(size: &Size) -> LoadReport {
     let customers = (0..size.customers / 10 + 10).map(|number| CustomerUse {
         tag: CustomerTag(number.wrapping_mul(2_654_435_761)),
         asked: 20_000,
         granted: 18_000,
     });
-    Work {
+    LoadReport {
         customers: customers.collect(),
-        ..Work::default()
+        ..LoadReport::default()
     }
 }
 
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -12,7 +12,7 @@
 
 use dunlinward_dispatch::cell::Cell;
 use dunlinward_dispatch::health::Outcome;
-use dunlinward_dispatch::message::{Content, Request, Return, TargetLoad, Work};
+use dunlinward_dispatch::message::{Content, LoadReport, Request, Return, TargetLoad};
 use dunlinward_dispatch::prefix::Use;
 use dunlinward_dispatch::region::Allowed;
 use dunlinward_dispatch::target::Tag;
@@ -105,7 +105,7 @@
 }
 
 /// A router tells what it has at the targets of this one's cells.
-pub fn work(node: &Rc<Node>, peer: Peer, work: &Work) {
+pub fn work(node: &Rc<Node>, peer: Peer, work: &LoadReport) {
     let now = node.now();
     {
         let mut state = node.state.borrow_mut();
@@ -229,12 +229,12 @@
 
 impl Told {
     /// The reports that are due now.
-    fn next(&mut self, node: &Rc<Node>) -> HashMap<SocketAddr, Work> {
+    fn next(&mut self, node: &Rc<Node>) -> HashMap<SocketAddr, LoadReport> {
         let now = node.now();
         let own = node.settings.link;
         let mut state = node.state.borrow_mut();
         let state = &mut *state;
-        let mut reports: HashMap<SocketAddr, Work> = HashMap::new();
+        let mut reports: HashMap<SocketAddr, LoadReport> = HashMap::new();
         for (tag, load) in state.usage.all_own().filter(|(_, it)| it.running > 0) {
             let Some(target) = state.registry.get(tag) else {
                 continue;
