--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -212,7 +212,7 @@
     /// A place that was used is free again.
     Return(Return),
     /// Load of the sender at targets.
-    Work(LoadReport),
+    LoadReport(LoadReport),
     /// The sender's findings on runs that did not end with an answer.
     Findings(Vec<Finding>),
     /// Targets that have announced that they leave.
@@ -240,12 +240,12 @@
             Self::Return(returned) => {
                 in_range(returned.unread) && returned.refusal.is_none_or(|it| it.plausible())
             }
-            Self::Work(work) => {
-                let mut loads = work.loads.iter();
-                let mut customers = work.customers.iter();
+            Self::LoadReport(report) => {
+                let mut loads = report.loads.iter();
+                let mut customers = report.customers.iter();
                 loads.all(|it| in_range(it.load.unread))
                     && customers.all(|it| in_range(it.asked) && in_range(it.granted))
-                    && work.refusals.iter().all(|(_, it)| it.plausible())
+                    && report.refusals.iter().all(|(_, it)| it.plausible())
             }
             Self::Heartbeat(heartbeat) => heartbeat.views.era.is_none_or(|it| it <= MAX_ERA),
             Self::Leaving(report) => report.plausible(),
--- a/crates/dispatch/tests/messages.rs
+++ b/crates/dispatch/tests/messages.rs
@@ -60,7 +60,7 @@
 fn load(unread: u64) -> Content {
     let tag = Tag::new("i-1");
     let load = Load { running: 1, unread };
-    Content::Work(LoadReport {
+    Content::LoadReport(LoadReport {
         loads: vec![TargetLoad { tag, load }],
         ..LoadReport::default()
     })
@@ -72,7 +72,7 @@
         asked: 20,
         granted,
     };
-    Content::Work(LoadReport {
+    Content::LoadReport(LoadReport {
         customers: vec![customer_use],
         ..LoadReport::default()
     })
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -146,8 +146,8 @@
                 unread: 17_000,
             }),
             returned: length(Content::Return(returned)),
-            work: length(Content::Work(work(size))),
-            fellow: length(Content::Work(fellow(size))),
+            work: length(Content::LoadReport(work(size))),
+            fellow: length(Content::LoadReport(fellow(size))),
         }
     }
 
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -179,7 +179,7 @@
         }
         cut::tell_again(&node);
         for (address, work) in reports {
-            node.send(address, Content::Work(work));
+            node.send(address, Content::LoadReport(work));
         }
     }
 }
