--- a/crates/dispatch/tests/messages.rs
+++ b/crates/dispatch/tests/messages.rs
@@ -17,7 +17,7 @@
 use dunlinward_dispatch::target::Tag;
 use dunlinward_dispatch::usage::{Load, Peer};
 
-fn ask() -> Request {
+fn request() -> Request {
     Request {
         number: 7,
         cell: Cell {
@@ -92,7 +92,7 @@
 #[test]
 fn messages_in_range_are_plausible() {
     let contents = [
-        Content::Request(ask()),
+        Content::Request(request()),
         Content::Grant(grant()),
         Content::Withdraw(u64::MAX),
         load(2_000_000),
@@ -110,36 +110,36 @@
 fn messages_out_of_range_are_not_plausible() {
     let max_duration = Duration::MAX;
     let max_tokens = u64::MAX;
-    let asks = [
+    let requests = [
         Request {
             max_wait: max_duration,
-            ..ask()
+            ..request()
         },
         Request {
             objective: max_duration,
-            ..ask()
+            ..request()
         },
         Request {
             waited: max_duration,
-            ..ask()
+            ..request()
         },
         Request {
             cost: max_tokens,
-            ..ask()
+            ..request()
         },
         Request {
             prompt: Some(Prompt {
                 tokens: max_tokens,
                 ..Prompt::default()
             }),
-            ..ask()
+            ..request()
         },
         Request {
             prompt: Some(Prompt {
                 answer_tokens: max_tokens,
                 ..Prompt::default()
             }),
-            ..ask()
+            ..request()
         },
         Request {
             prompt: Some(Prompt {
@@ -149,10 +149,10 @@
                 }],
                 ..Prompt::default()
             }),
-            ..ask()
+            ..request()
         },
     ];
-    let contents = asks.into_iter().map(Content::Request).chain([
+    let contents = requests.into_iter().map(Content::Request).chain([
         Content::Grant(Grant {
             unread: max_tokens,
             ..grant()
@@ -170,7 +170,7 @@
     }
 }
 
-fn greeting(era: u64) -> Content {
+fn heartbeat(era: u64) -> Content {
     let card = Card {
         address: ([127, 0, 0, 1], 1).into(),
         peer: Peer(1),
@@ -200,7 +200,7 @@
 /// With such an era, all answers of the store would count as dating from before its last restore.
 #[test]
 fn an_era_that_no_store_reaches_is_not_plausible() {
-    assert!(greeting(1_000).plausible());
-    assert!(!greeting(u64::MAX).plausible());
-    assert!(!greeting(1 << 40).plausible());
+    assert!(heartbeat(1_000).plausible());
+    assert!(!heartbeat(u64::MAX).plausible());
+    assert!(!heartbeat(1 << 40).plausible());
 }
