--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -8,11 +8,11 @@
     Configuration, Customer, Kind, Limits, Route, Share, Table,
 };
 use dunlinward_dispatch::health::{Health, Outcome};
+use dunlinward_dispatch::message::CustomerTag;
 use dunlinward_dispatch::placement::{self, Candidate, Criteria, Policy};
 use dunlinward_dispatch::prefix::{self, History, Part, Prefix, Prompt, Use};
 use dunlinward_dispatch::reachability::Reachability;
 use dunlinward_dispatch::registry::{Change, OUTAGE_GAP, REAPPEARANCE_GRACE, Registry};
-use dunlinward_dispatch::report::CustomerTag;
 use dunlinward_dispatch::share::{self, Shares};
 use dunlinward_dispatch::target::{State, Tag, Target};
 use dunlinward_dispatch::usage::{Load, PEER_TIMEOUT, Peer, Usage};
@@ -282,40 +282,40 @@
 fn shares_apply_across_routers_once_demand_exceeds_grants() {
     let (small, large) = (CustomerTag(1), CustomerTag(2));
     let mut shares = Shares::new(ms(4000));
-    shares.ask(small, 100, ms(0));
-    shares.grant(small, 100, ms(0));
-    assert!(shares.cover(large, 10_000, ms(0)) >= 1.0);
-    let peer = dunlinward_dispatch::report::CustomerUse {
+    shares.record_demand(small, 100, ms(0));
+    shares.charge(small, 100, ms(0));
+    assert!(shares.share_ratio(large, 10_000, ms(0)) >= 1.0);
+    let peer = dunlinward_dispatch::message::CustomerUse {
         tag: large,
         asked: 9000,
         granted: 900,
     };
-    shares.hear(Peer(3), &[peer], ms(100));
-    assert!(shares.cover(large, 10, ms(100)) < 1.0);
-    assert!(shares.cover(large, 910, ms(100)) < 0.6);
-    assert!(shares.cover(small, 10, ms(100)) >= 1.0);
-    assert!(shares.cover(large, 10, ms(6000)) >= 1.0);
+    shares.record_peer(Peer(3), &[peer], ms(100));
+    assert!(shares.share_ratio(large, 10, ms(100)) < 1.0);
+    assert!(shares.share_ratio(large, 910, ms(100)) < 0.6);
+    assert!(shares.share_ratio(small, 10, ms(100)) >= 1.0);
+    assert!(shares.share_ratio(large, 10, ms(6000)) >= 1.0);
 }
 
 #[test]
 fn small_fully_served_customers_are_not_reported_and_the_level_is_unchanged() {
     let mut shares = Shares::new(ms(4000));
     for number in 0..100 {
-        shares.ask(CustomerTag(number), 10, ms(0));
-        shares.grant(CustomerTag(number), 10, ms(0));
+        shares.record_demand(CustomerTag(number), 10, ms(0));
+        shares.charge(CustomerTag(number), 10, ms(0));
     }
     for (number, asked, granted) in [(200, 9_000, 4_000), (201, 5_000, 4_000), (202, 30, 20)] {
-        shares.ask(CustomerTag(number), asked, ms(0));
-        shares.grant(CustomerTag(number), granted, ms(0));
+        shares.record_demand(CustomerTag(number), asked, ms(0));
+        shares.charge(CustomerTag(number), granted, ms(0));
     }
     let reported = shares.report(ms(0));
     let mut tags: Vec<_> = reported.iter().map(|it| it.tag.0).collect();
     tags.sort_unstable();
     assert_eq!(tags, [200, 201, 202]);
     let mut other = Shares::new(ms(4000));
-    other.hear(Peer(1), &reported, ms(0));
+    other.record_peer(Peer(1), &reported, ms(0));
     let level = |shares: &mut Shares| {
-        shares.cover(CustomerTag(200), 1, ms(0));
+        shares.share_ratio(CustomerTag(200), 1, ms(0));
         shares.standing(CustomerTag(200), ms(0)).level
     };
     assert_eq!(level(&mut shares), level(&mut other));
@@ -325,7 +325,7 @@
 fn usage_expires_with_the_window() {
     let customer = CustomerTag(1);
     let mut shares = Shares::new(ms(4000));
-    shares.grant(customer, 100, ms(0));
+    shares.charge(customer, 100, ms(0));
     assert_eq!(shares.granted(customer, ms(3000)), 100);
     assert_eq!(shares.granted(customer, ms(4600)), 0);
 }
@@ -351,10 +351,10 @@
                 budgets[router] = Budget::new(bound);
             }
             if random.random_ratio(1, 3) {
-                budgets[router].request(&service, now);
+                budgets[router].record_request(&service, now);
                 requests.push(now);
             }
-            if budgets[router].take(&service, routers, now) {
+            if budgets[router].try_take(&service, routers, now) {
                 repeats.push(now);
             }
         }
@@ -546,9 +546,9 @@
 fn fleet_without_grants_has_no_level() {
     let mut shares = Shares::new(ms(4_000));
     let customer = CustomerTag(1);
-    shares.ask(customer, 1_000, ms(0));
+    shares.record_demand(customer, 1_000, ms(0));
     assert_eq!(
-        shares.cover(customer, 1_000, ms(0)).to_bits(),
+        shares.share_ratio(customer, 1_000, ms(0)).to_bits(),
         1.0f64.to_bits()
     );
     assert_eq!(shares.standing(customer, ms(0)).level, None);
--- a/crates/dispatch/tests/messages.rs
+++ b/crates/dispatch/tests/messages.rs
@@ -1,4 +1,5 @@
-//! Messages that a router of another version, or nobody, may have sent.
+//! Plausibility of messages: values that a router of another version may send, and values that no
+//! router sends.
 
 use std::time::Duration;
 
@@ -6,17 +7,18 @@
 use dunlinward_dispatch::content::ContentTag;
 use dunlinward_dispatch::member::Descriptor;
 use dunlinward_dispatch::membership::{Kind, Packet, Update};
+use dunlinward_dispatch::message::{
+    Content, CustomerTag, CustomerUse, Grant, Heartbeat, LoadReport, Request, Return, TargetLoad,
+    Views,
+};
 use dunlinward_dispatch::prefix::{Part, Prompt};
 use dunlinward_dispatch::region::Region;
-use dunlinward_dispatch::report::{
-    Ask, Content, CustomerTag, CustomerUse, Grant, Greeting, Return, TargetLoad, Views, Work,
-};
 use dunlinward_dispatch::share::Standing;
 use dunlinward_dispatch::target::Tag;
 use dunlinward_dispatch::usage::{Load, Peer};
 
-fn ask() -> Ask {
-    Ask {
+fn request() -> Request {
+    Request {
         number: 7,
         cell: Cell {
             service: ServiceTag::new("pool"),
@@ -33,9 +35,9 @@
         cost: 20,
         objective: Duration::from_secs(2),
         waited: Duration::ZERO,
-        patience: Duration::from_millis(120),
-        returning: false,
-        counted: false,
+        max_wait: Duration::from_millis(120),
+        is_retry: false,
+        demand_counted: false,
         failed: false,
         avoid: Vec::new(),
     }
@@ -58,21 +60,21 @@
 fn load(unread: u64) -> Content {
     let tag = Tag::new("i-1");
     let load = Load { running: 1, unread };
-    Content::Work(Work {
+    Content::LoadReport(LoadReport {
         loads: vec![TargetLoad { tag, load }],
-        ..Work::default()
+        ..LoadReport::default()
     })
 }
 
-fn used(granted: u64) -> Content {
-    let used = CustomerUse {
+fn customer_use(granted: u64) -> Content {
+    let customer_use = CustomerUse {
         tag: CustomerTag(5),
         asked: 20,
         granted,
     };
-    Content::Work(Work {
-        customers: vec![used],
-        ..Work::default()
+    Content::LoadReport(LoadReport {
+        customers: vec![customer_use],
+        ..LoadReport::default()
     })
 }
 
@@ -88,13 +90,13 @@
 }
 
 #[test]
-fn what_routers_say_is_plausible() {
+fn messages_in_range_are_plausible() {
     let contents = [
-        Content::Ask(ask()),
+        Content::Request(request()),
         Content::Grant(grant()),
         Content::Withdraw(u64::MAX),
         load(2_000_000),
-        used(100_000_000),
+        customer_use(100_000_000),
         returned(0),
     ];
     for content in contents {
@@ -102,73 +104,73 @@
     }
 }
 
-/// The sum of a time or of tokens overflowed: with the first of these a router heard no message any
-/// more.
+/// Sums of such times or token counts overflow; after the first of these messages, a router no
+/// longer received any.
 #[test]
-fn what_no_router_can_mean_is_not() {
-    let long = Duration::MAX;
-    let most = u64::MAX;
-    let asks = [
-        Ask {
-            patience: long,
-            ..ask()
+fn messages_out_of_range_are_not_plausible() {
+    let max_duration = Duration::MAX;
+    let max_tokens = u64::MAX;
+    let requests = [
+        Request {
+            max_wait: max_duration,
+            ..request()
         },
-        Ask {
-            objective: long,
-            ..ask()
+        Request {
+            objective: max_duration,
+            ..request()
         },
-        Ask {
-            waited: long,
-            ..ask()
+        Request {
+            waited: max_duration,
+            ..request()
         },
-        Ask {
-            cost: most,
-            ..ask()
+        Request {
+            cost: max_tokens,
+            ..request()
         },
-        Ask {
+        Request {
             prompt: Some(Prompt {
-                tokens: most,
+                tokens: max_tokens,
                 ..Prompt::default()
             }),
-            ..ask()
+            ..request()
         },
-        Ask {
+        Request {
             prompt: Some(Prompt {
-                answer_tokens: most,
+                answer_tokens: max_tokens,
                 ..Prompt::default()
             }),
-            ..ask()
+            ..request()
         },
-        Ask {
+        Request {
             prompt: Some(Prompt {
                 parts: vec![Part {
                     id: 0,
-                    tokens: most,
+                    tokens: max_tokens,
                 }],
                 ..Prompt::default()
             }),
-            ..ask()
+            ..request()
         },
     ];
-    let contents = asks.into_iter().map(Content::Ask).chain([
+    let contents = requests.into_iter().map(Content::Request).chain([
         Content::Grant(Grant {
-            unread: most,
+            unread: max_tokens,
             ..grant()
         }),
         Content::Read {
             tag: Tag::new("i-1"),
-            unread: most,
+            unread: max_tokens,
         },
-        load(most),
-        used(most),
-        returned(most),
+        load(max_tokens),
+        customer_use(max_tokens),
+        returned(max_tokens),
     ]);
     for content in contents {
         assert!(!content.plausible(), "{content:?}");
     }
 }
 
-fn greeting(era: u64) -> Content {
+fn heartbeat(era: u64) -> Content {
     let card = Descriptor {
         address: ([127, 0, 0, 1], 1).into(),
         peer: Peer(1),
@@ -192,13 +194,13 @@
         era: Some(era),
         leaving: 0,
     };
-    Content::Greeting(Greeting { packet, views })
+    Content::Heartbeat(Heartbeat { packet, views })
 }
 
-/// With such an era all answers of the store would seem to be from before it came back from a copy.
+/// With such an era, all answers of the store would count as dating from before its last restore.
 #[test]
-fn an_era_that_no_store_reaches_is_not_taken() {
-    assert!(greeting(1_000).plausible());
-    assert!(!greeting(u64::MAX).plausible());
-    assert!(!greeting(1 << 40).plausible());
+fn an_era_that_no_store_reaches_is_not_plausible() {
+    assert!(heartbeat(1_000).plausible());
+    assert!(!heartbeat(u64::MAX).plausible());
+    assert!(!heartbeat(1 << 40).plausible());
 }
--- a/crates/dispatch/tests/prefix_cache.rs
+++ b/crates/dispatch/tests/prefix_cache.rs
@@ -6,8 +6,8 @@
 use dunlinward_dispatch::cache::{Caches, Entry, MAX_REPORT_AGE, Match, Query, Status, Update};
 use dunlinward_dispatch::placement::{self, Candidate, Criteria, Policy};
 use dunlinward_dispatch::prefix::{self, Part, Prompt};
+use dunlinward_dispatch::retry::Detector;
 use dunlinward_dispatch::target::{State, Tag, Target};
-use dunlinward_dispatch::tries::Tries;
 use dunlinward_dispatch::usage::Load;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -329,7 +329,7 @@
 #[test]
 fn later_tries_are_detected_by_rare_deadlines_whatever_the_route_limit() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
-    let (route, mut tries): (Arc<str>, _) = ("r".into(), Tries::new());
+    let (route, mut tries): (Arc<str>, _) = ("r".into(), Detector::new());
     let mut wrong = 0;
     for number in 0..2_000 {
         let limit = if (600..1_200).contains(&number) {
@@ -343,25 +343,25 @@
         } else {
             15_000
         };
-        wrong += u32::from(tries.later(&route, ms(time), ms(limit)) != later);
+        wrong += u32::from(tries.record(&route, ms(time), ms(limit)) != later);
     }
     assert_eq!(wrong, 0);
 }
 
 #[test]
 fn route_with_few_requests_or_two_kinds_of_callers_has_first_tries() {
-    let (route, mut tries): (Arc<str>, _) = ("r".into(), Tries::new());
-    assert!(!tries.later(&route, ms(14_980), ms(15_000)));
-    assert!(tries.later(&route, ms(14_500), ms(15_000)));
+    let (route, mut tries): (Arc<str>, _) = ("r".into(), Detector::new());
+    assert!(!tries.record(&route, ms(14_980), ms(15_000)));
+    assert!(tries.record(&route, ms(14_500), ms(15_000)));
     for _ in 0..50 {
-        tries.later(&route, ms(15_000), ms(15_000));
-        tries.later(&route, ms(3_000), ms(15_000));
+        tries.record(&route, ms(15_000), ms(15_000));
+        tries.record(&route, ms(3_000), ms(15_000));
     }
-    assert!(!tries.later(&route, ms(3_000), ms(15_000)));
-    assert!(!tries.later(&route, ms(15_000), ms(15_000)));
-    assert!(tries.later(&route, ms(2_600), ms(15_000)));
+    assert!(!tries.record(&route, ms(3_000), ms(15_000)));
+    assert!(!tries.record(&route, ms(15_000), ms(15_000)));
+    assert!(tries.record(&route, ms(2_600), ms(15_000)));
     tries.retain(|_| false);
-    assert!(!tries.later(&route, ms(15_000), ms(15_000)));
+    assert!(!tries.record(&route, ms(15_000), ms(15_000)));
 }
 
 /// Each caller has a deadline of its own, 8.5 to 10 s, and the route a limit of 10 s. Guards
@@ -369,11 +369,11 @@
 #[test]
 fn first_tries_with_individual_deadlines_do_not_count_as_later_tries() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
-    let (route, mut tries): (Arc<str>, _) = ("r".into(), Tries::new());
+    let (route, mut tries): (Arc<str>, _) = ("r".into(), Detector::new());
     let mut later = 0;
     for _ in 0..2_000 {
         let time = random.random_range(8_500..=10_000);
-        later += u32::from(tries.later(&route, ms(time), ms(10_000)));
+        later += u32::from(tries.record(&route, ms(time), ms(10_000)));
     }
     assert!(later <= 10, "{later}");
 }
--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -15,15 +15,15 @@
 use dunlinward_dispatch::content::ContentTag;
 use dunlinward_dispatch::member::{Condition, Descriptor, Members};
 use dunlinward_dispatch::membership::{Kind, Packet, Update};
+use dunlinward_dispatch::message::{
+    Content, CustomerTag, CustomerUse, Grant, Heartbeat, LoadReport, Message, Request, Return,
+    TargetLoad, Views,
+};
 use dunlinward_dispatch::placement::{self, Candidate, Criteria as Wanted, Policy};
 use dunlinward_dispatch::prefix::{Part, Prompt};
 use dunlinward_dispatch::reading::Reading;
 use dunlinward_dispatch::region::Region;
 use dunlinward_dispatch::registry::Registry;
-use dunlinward_dispatch::report::{
-    Ask, Content, CustomerTag, CustomerUse, Grant, Greeting, Message, Return, TargetLoad, Views,
-    Work,
-};
 use dunlinward_dispatch::share::Standing;
 use dunlinward_dispatch::store::Position;
 use dunlinward_dispatch::target::{State, Tag, Target};
@@ -131,8 +131,8 @@
             refusal: None,
         };
         Self {
-            greeting: length(Content::Greeting(greeting())),
-            ask: length(Content::Ask(ask())),
+            greeting: length(Content::Heartbeat(greeting())),
+            ask: length(Content::Request(ask())),
             grant: length(Content::Grant(Grant {
                 number: 70_000,
                 tag,
@@ -146,8 +146,8 @@
                 unread: 17_000,
             }),
             returned: length(Content::Return(returned)),
-            work: length(Content::Work(work(size))),
-            fellow: length(Content::Work(fellow(size))),
+            work: length(Content::LoadReport(work(size))),
+            fellow: length(Content::LoadReport(fellow(size))),
         }
     }
 
@@ -185,7 +185,7 @@
     }
 }
 
-fn greeting() -> Greeting {
+fn greeting() -> Heartbeat {
     let packet = Packet {
         sender: Update::new(card(1)),
         digest: u32::MAX / 3,
@@ -211,7 +211,7 @@
         era: None,
         leaving: 0,
     };
-    Greeting { packet, views }
+    Heartbeat { packet, views }
 }
 
 fn prompt() -> Prompt {
@@ -227,8 +227,8 @@
     }
 }
 
-fn ask() -> Ask {
-    Ask {
+fn ask() -> Request {
+    Request {
         number: 70_000,
         cell: a_cell(),
         content: Some(ContentTag(u64::MAX / 5)),
@@ -237,9 +237,9 @@
         cost: 17_240,
         objective: Duration::from_millis(800),
         waited: Duration::from_micros(300),
-        patience: Duration::from_millis(160),
-        returning: false,
-        counted: false,
+        max_wait: Duration::from_millis(160),
+        is_retry: false,
+        demand_counted: false,
         failed: false,
         avoid: Vec::new(),
     }
@@ -254,7 +254,7 @@
 }
 
 /// A router's report to one owner: its requests of a second, spread over the cells.
-fn work(size: &Size) -> Work {
+fn work(size: &Size) -> LoadReport {
     let cells = f64::from(cells(size));
     let loads = (0u32..).take_while(|it| f64::from(*it) < size.requests / cells);
     let loads = loads.map(|number| TargetLoad {
@@ -267,23 +267,23 @@
     // Places that are used are named in two reports, 0.3 s apart.
     let accepted = (70_000u64..).zip(0u32..);
     let accepted = accepted.take_while(|(_, it)| f64::from(*it) < size.requests * 0.6 / cells);
-    Work {
+    LoadReport {
         loads: loads.collect(),
         accepted: accepted.map(|(number, _)| number).collect(),
-        ..Work::default()
+        ..LoadReport::default()
     }
 }
 
 /// What one owner tells another: a tenth of the customers is backlogged, and a few are large.
-fn fellow(size: &Size) -> Work {
+fn fellow(size: &Size) -> LoadReport {
     let customers = (0..size.customers / 10 + 10).map(|number| CustomerUse {
         tag: CustomerTag(number.wrapping_mul(2_654_435_761)),
         asked: 20_000,
         granted: 18_000,
     });
-    Work {
+    LoadReport {
         customers: customers.collect(),
-        ..Work::default()
+        ..LoadReport::default()
     }
 }
 
--- a/crates/path/src/admission.rs
+++ b/crates/path/src/admission.rs
@@ -103,8 +103,8 @@
     let now = node.now();
     let returning = {
         let mut state = node.state.borrow_mut();
-        state.budget.request(&service, now);
-        state.tries.later(&route.name, left, route.timeout)
+        state.budget.record_request(&service, now);
+        state.tries.record(&route.name, left, route.timeout)
     };
     Job {
         id: call.id,
--- a/crates/path/src/cut.rs
+++ b/crates/path/src/cut.rs
@@ -15,8 +15,8 @@
 use dunlinward_dispatch::content::Digest;
 use dunlinward_dispatch::health::Outcome;
 use dunlinward_dispatch::interruptions::Report;
+use dunlinward_dispatch::message::Content;
 use dunlinward_dispatch::quarantine::{Finding, Resolution};
-use dunlinward_dispatch::report::Content;
 use dunlinward_dispatch::target::{State as Condition, Target};
 
 use crate::node::Node;
--- a/crates/path/src/inbox.rs
+++ b/crates/path/src/inbox.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use bincode::config::standard;
-use dunlinward_dispatch::report::{Content, Message};
+use dunlinward_dispatch::message::{Content, Message};
 use tokio::net::UdpSocket;
 
 use crate::node::Node;
@@ -91,14 +91,14 @@
 fn take(node: &Rc<Node>, message: Message, from: SocketAddr) {
     let sender = message.sender;
     match message.content {
-        Content::Greeting(greeting) => gossip::hear(node, greeting),
-        Content::Ask(ask) => owner::ask(node, sender, from, ask),
+        Content::Heartbeat(greeting) => gossip::hear(node, greeting),
+        Content::Request(ask) => owner::ask(node, sender, from, ask),
         Content::Grant(grant) => node.answer(from, grant.number, Answer::Grant(grant)),
         Content::Wait(wait) => node.answer(from, wait.number, Answer::Wait(wait)),
         Content::Withdraw(number) => owner::withdraw(node, sender, number),
         Content::Read { tag, unread } => owner::read(node, sender, tag, unread),
         Content::Return(returned) => owner::returned(node, sender, returned),
-        Content::Work(work) => owner::work(node, sender, &work),
+        Content::LoadReport(work) => owner::work(node, sender, &work),
         Content::Findings(findings) => quarantine::hear(node, &findings),
         Content::Leaving(report) => leaving::hear(node, report.notices()),
     }
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -12,9 +12,9 @@
 use dunlinward_dispatch::configuration::{Configuration, Table};
 use dunlinward_dispatch::health::Outcome;
 use dunlinward_dispatch::member::{Duty, Scope};
+use dunlinward_dispatch::message::CustomerTag;
 use dunlinward_dispatch::reading::Reading;
 use dunlinward_dispatch::registry::Delta;
-use dunlinward_dispatch::report::CustomerTag;
 use dunlinward_dispatch::share::Standing;
 use dunlinward_dispatch::store::Position;
 use dunlinward_dispatch::target::Target;
@@ -357,7 +357,7 @@
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let routers = state.members.count();
-        let allowed = state.budget.take(service, routers, now);
+        let allowed = state.budget.try_take(service, routers, now);
         let label = if allowed { "taken" } else { "refused" };
         self.metrics.add("repeats", label, 1);
         allowed
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -12,9 +12,9 @@
 
 use dunlinward_dispatch::cell::Cell;
 use dunlinward_dispatch::health::Outcome;
+use dunlinward_dispatch::message::{Content, LoadReport, Request, Return, TargetLoad};
 use dunlinward_dispatch::prefix::Use;
 use dunlinward_dispatch::region::Constraint;
-use dunlinward_dispatch::report::{Ask, Content, Return, TargetLoad, Work};
 use dunlinward_dispatch::target::Tag;
 use dunlinward_dispatch::usage::Peer;
 
@@ -41,7 +41,7 @@
 const USES_MOST: usize = 400;
 
 /// A router asks for a place.
-pub fn ask(node: &Rc<Node>, peer: Peer, address: SocketAddr, ask: Ask) {
+pub fn ask(node: &Rc<Node>, peer: Peer, address: SocketAddr, ask: Request) {
     let now = node.now();
     let asker = Asker {
         peer,
@@ -63,11 +63,11 @@
             cost: ask.cost,
             objective: ask.objective,
             arrived: now.saturating_sub(ask.waited),
-            returning: ask.returning,
-            counted: ask.counted,
+            returning: ask.is_retry,
+            counted: ask.demand_counted,
             failed: ask.failed,
             avoid: ask.avoid,
-            until: now + ask.patience,
+            until: now + ask.max_wait,
             claim: Claim::All,
             draw: node.draw(),
         };
@@ -105,7 +105,7 @@
 }
 
 /// A router tells what it has at the targets of this one's cells.
-pub fn work(node: &Rc<Node>, peer: Peer, work: &Work) {
+pub fn work(node: &Rc<Node>, peer: Peer, work: &LoadReport) {
     let now = node.now();
     {
         let mut state = node.state.borrow_mut();
@@ -119,7 +119,7 @@
             state.backoffs.record_backoff(peer, *tag, *refusal, now);
         }
         if !work.customers.is_empty() {
-            state.shares.hear(peer, &work.customers, now);
+            state.shares.record_peer(peer, &work.customers, now);
         }
     }
     node.room_came();
@@ -179,7 +179,7 @@
         }
         cut::tell_again(&node);
         for (address, work) in reports {
-            node.send(address, Content::Work(work));
+            node.send(address, Content::LoadReport(work));
         }
     }
 }
@@ -229,12 +229,12 @@
 
 impl Told {
     /// The reports that are due now.
-    fn next(&mut self, node: &Rc<Node>) -> HashMap<SocketAddr, Work> {
+    fn next(&mut self, node: &Rc<Node>) -> HashMap<SocketAddr, LoadReport> {
         let now = node.now();
         let own = node.settings.link;
         let mut state = node.state.borrow_mut();
         let state = &mut *state;
-        let mut reports: HashMap<SocketAddr, Work> = HashMap::new();
+        let mut reports: HashMap<SocketAddr, LoadReport> = HashMap::new();
         for (tag, load) in state.usage.own_loads().filter(|(_, it)| it.running > 0) {
             let Some(target) = state.registry.get(tag) else {
                 continue;
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use dunlinward_dispatch::report::{Ask, Content, Grant, Wait};
+use dunlinward_dispatch::message::{Content, Grant, Request, Wait};
 use dunlinward_dispatch::round_trip::RoundTrip;
 use dunlinward_dispatch::share::Standing;
 use dunlinward_dispatch::target::{Tag, Target};
@@ -133,7 +133,7 @@
             question.put(wish);
             match question.listen(time, until).await {
                 Some(Answer::Grant(grant)) => return question.accept(wish, grant),
-                Some(Answer::Wait(wait)) if wait.closed_for.is_some() => {
+                Some(Answer::Wait(wait)) if wait.unavailable_for.is_some() => {
                     return Asked::GivenUp(Some(wait));
                 }
                 Some(Answer::Wait(wait)) => {
@@ -169,7 +169,7 @@
     /// The refusal of a request that its owner had no place for.
     fn refusal(&self, wait: Option<Wait>) -> Refusal {
         let standing = wait.and_then(|it| it.standing);
-        let closed_for = wait.and_then(|it| it.closed_for);
+        let closed_for = wait.and_then(|it| it.unavailable_for);
         let refusal = match closed_for {
             Some(time) => self.backed_off(time),
             None => Refusal::new(reason(standing)),
@@ -261,7 +261,7 @@
 
     fn put(&self, wish: &Wish) {
         let now = self.node.now();
-        let ask = Ask {
+        let ask = Request {
             number: self.number,
             cell: wish.cell,
             content: wish.content,
@@ -270,13 +270,13 @@
             cost: wish.cost,
             objective: wish.objective,
             waited: now.saturating_sub(wish.arrived),
-            patience: wish.until.saturating_sub(now),
-            returning: wish.returning,
-            counted: wish.counted,
+            max_wait: wish.until.saturating_sub(now),
+            is_retry: wish.returning,
+            demand_counted: wish.counted,
             failed: wish.failed,
             avoid: wish.avoid.clone(),
         };
-        self.node.send(self.owner, Content::Ask(ask));
+        self.node.send(self.owner, Content::Request(ask));
     }
 
     async fn listen(&mut self, time: Duration, until: Duration) -> Option<Answer> {
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -21,19 +21,19 @@
 use dunlinward_dispatch::interruptions::Interruptions;
 use dunlinward_dispatch::member::{Descriptor, Members};
 use dunlinward_dispatch::membership::{Change as MemberChange, Effects, Membership};
+use dunlinward_dispatch::message::{CustomerTag, Views};
 use dunlinward_dispatch::prefix::{History, Prompt};
 use dunlinward_dispatch::quarantine::Ledger;
 use dunlinward_dispatch::reachability::Reachability;
 use dunlinward_dispatch::reading::{Reading, Readings};
+use dunlinward_dispatch::refused::Contents;
 use dunlinward_dispatch::region::{Constraint, Region};
 use dunlinward_dispatch::registry::{Change, Delta, Listing, Registry};
-use dunlinward_dispatch::report::{CustomerTag, Views};
-use dunlinward_dispatch::returns::Returns;
+use dunlinward_dispatch::retry::Detector;
 use dunlinward_dispatch::round_trip::RoundTrips;
 use dunlinward_dispatch::share::{self, Shares};
 use dunlinward_dispatch::store::{Era, Observation, Position};
 use dunlinward_dispatch::target::{Tag, Target};
-use dunlinward_dispatch::tries::Tries;
 use dunlinward_dispatch::usage::{Peer, Usage};
 
 use crate::node::{List, Told};
@@ -141,9 +141,9 @@
     /// Cells of other regions that had no room for a customer's request from here, and when.
     short: HashMap<(Cell, Option<CustomerTag>), Duration>,
     /// Which callers come back.
-    pub(crate) tries: Tries,
+    pub(crate) tries: Detector,
     /// Requests that found no room at this router's cells.
-    pub(crate) returns: Returns,
+    pub(crate) returns: Contents,
     /// Which routers are alive.
     pub(crate) membership: Membership,
     /// Which of them owns what.
@@ -200,8 +200,8 @@
             round_trips: RoundTrips::default(),
             region: settings.regions.of(&settings.domain),
             short: HashMap::new(),
-            tries: Tries::new(),
-            returns: Returns::default(),
+            tries: Detector::new(),
+            returns: Contents::default(),
             membership: Membership::new(card.clone(), &settings.seeds, settings.report_interval),
             members: Members::new(card).with_regions(settings.regions.clone()),
             queue: Vec::new(),
--- a/crates/path/src/state/ended.rs
+++ b/crates/path/src/state/ended.rs
@@ -3,9 +3,9 @@
 
 use std::time::Duration;
 
-use dunlinward_dispatch::grants::{End, Reason, Request};
+use dunlinward_dispatch::grants::{End, Reason, RequestId};
 use dunlinward_dispatch::health::Outcome;
-use dunlinward_dispatch::report::Return;
+use dunlinward_dispatch::message::Return;
 use dunlinward_dispatch::share::Charge;
 use dunlinward_dispatch::target::Tag;
 use dunlinward_dispatch::usage::Peer;
@@ -20,7 +20,7 @@
             self.refuse(&waiter.wish, now);
         }
         self.queue = queue;
-        let request = Request { peer, number };
+        let request = RequestId { peer, number };
         let Some(end) = self.grants.end(request, Reason::Withdrawn) else {
             return;
         };
@@ -51,7 +51,7 @@
             (None, Some(Outcome::Good)) => self.backoffs.record_running(returned.tag, now),
             (None, _) => {}
         }
-        let request = returned.not_run.map(|number| Request { peer, number });
+        let request = returned.not_run.map(|number| RequestId { peer, number });
         let end = request.and_then(|it| self.grants.end(it, Reason::NotRun));
         if let Some(end) = end {
             self.undo(end, now);
@@ -61,7 +61,7 @@
     /// Another router uses places that it was given.
     pub(crate) fn confirm(&mut self, peer: Peer, numbers: &[u64], now: Duration) {
         for number in numbers {
-            let request = Request {
+            let request = RequestId {
                 peer,
                 number: *number,
             };
@@ -75,7 +75,7 @@
     /// Ends places of which nothing was heard. Their work is not counted any more either: a report
     /// has come since, or the router is silent.
     pub(crate) fn lapse(&mut self, now: Duration) {
-        for end in self.grants.lapse(now) {
+        for end in self.grants.expire(now) {
             if let Some(content) = end.lease.content {
                 self.copies.end(content, end.lease.grant.tag);
             }
@@ -97,7 +97,7 @@
     /// charges taken back (`tests`).
     pub(crate) fn take_back(&mut self, charge: Option<Charge>, now: Duration) {
         if let Some(charge) = charge {
-            self.shares.take_back(charge, now);
+            self.shares.refund(charge, now);
         }
     }
 }
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use dunlinward_dispatch::grants::{self, Request};
+use dunlinward_dispatch::grants::{self, RequestId};
+use dunlinward_dispatch::message::{Content, CustomerTag, Grant, Wait};
 use dunlinward_dispatch::placement::{self, Choice, Criteria};
 use dunlinward_dispatch::prefix::{self, Prompt, Use};
-use dunlinward_dispatch::report::{Content, CustomerTag, Grant, Wait};
 use dunlinward_dispatch::share::{Charge, Standing};
 use tokio::sync::oneshot;
 
@@ -30,7 +30,7 @@
         if let Some(customer) = wish.customer
             && !wish.counted
         {
-            self.shares.ask(customer, wish.cost, now);
+            self.shares.record_demand(customer, wish.cost, now);
         }
     }
 
@@ -48,7 +48,7 @@
         now: Duration,
     ) -> Content {
         let Asker { peer, number, .. } = asker;
-        if let Some(grant) = self.grants.find(Request { peer, number }) {
+        if let Some(grant) = self.grants.find(RequestId { peer, number }) {
             return Content::Grant(grant);
         }
         let known = self.queue.iter().any(|it| it.origin.is(peer, number));
@@ -82,13 +82,13 @@
     /// Whether the caller of a request was refused before, as far as is known here.
     pub(crate) fn returns(&self, wish: &Wish, now: Duration) -> bool {
         wish.content
-            .is_some_and(|it| self.returns.returning(it, now))
+            .is_some_and(|it| self.returns.contains(it, now))
     }
 
     /// A request leaves the queue without a place.
     pub(crate) fn refuse(&mut self, wish: &Wish, now: Duration) {
         if let Some(content) = wish.content {
-            self.returns.refused(content, now);
+            self.returns.insert(content, now);
         }
     }
 
@@ -103,7 +103,7 @@
             number,
             waiting: u32::try_from(self.queue.len()).unwrap_or(u32::MAX),
             standing: customer.map(|it| self.shares.standing(it, now)),
-            closed_for,
+            unavailable_for: closed_for,
         })
     }
 
@@ -112,7 +112,7 @@
         let Some(customer) = wish.customer else {
             return 1.0;
         };
-        self.shares.cover(customer, wish.cost, now)
+        self.shares.share_ratio(customer, wish.cost, now)
     }
 
     pub(crate) fn choose(
@@ -258,13 +258,13 @@
             prefix,
             content: wish.content,
         };
-        self.grants.give(Request { peer, number }, lease, now);
+        self.grants.insert(RequestId { peer, number }, lease, now);
         grant
     }
 
     fn charge(&mut self, wish: &Wish, now: Duration) -> Option<Charge> {
         let customer = wish.customer?;
-        Some(self.shares.grant(customer, wish.cost, now))
+        Some(self.shares.charge(customer, wish.cost, now))
     }
 
     fn standing(&mut self, wish: &Wish, now: Duration) -> Option<Standing> {
