--- a/crates/dispatch/src/evacuation.rs
+++ b/crates/dispatch/src/evacuation.rs
@@ -6,8 +6,8 @@
 //!
 //! A known order that is missing from the store's list has ended. The exception is a store restored
 //! from a backup since: the order may not have been written again yet, so it stays in force until
-//! the operators say otherwise or [`RESTORE_WINDOW`](crate::store::RESTORE_WINDOW) has passed. An order
-//! that a restore brings back after it was revoked is in force again until its revocation is
+//! the operators say otherwise or [`RESTORE_WINDOW`](crate::store::RESTORE_WINDOW) has passed. An
+//! order that a restore brings back after it was revoked is in force again until its revocation is
 //! written again: leaving a domain empty slightly too long costs capacity, whereas sending requests
 //! there breaks a guarantee.
 
--- a/crates/dispatch/src/leaving.rs
+++ b/crates/dispatch/src/leaving.rs
@@ -5,8 +5,8 @@
 //! of the router that received it: routers forward it to each other, and only a new incarnation,
 //! which has another [`Tag`], supersedes it. An entry that still says ready is stale.
 //!
-//! Each router retains every announcement for [`RETENTION`] after it was made, so routers that exchange
-//! all their announcements converge to the same set, regardless of delivery order.
+//! Each router retains every announcement for [`RETENTION`] after it was made, so routers that
+//! exchange all their announcements converge to the same set, regardless of delivery order.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/dispatch/src/registry.rs
+++ b/crates/dispatch/src/registry.rs
@@ -3,10 +3,10 @@
 //! The platform's list is read in full once; after that only the log records written since are read
 //! ([`Delta`]). A target that is missing from the list has ended, with one exception: entries
 //! expire during a store outage and reappear shortly after it, so after an outage a missing target
-//! is retained for [`REAPPEARANCE_GRACE`]. An outage is a gap between lists, whichever router read them:
-//! as long as a peer can read, entries do not expire because of the store. A retained target is a
-//! local assumption of this router: it is not sent to peers, and a list from a peer that observed
-//! no outage ends it.
+//! is retained for [`REAPPEARANCE_GRACE`]. An outage is a gap between lists, whichever router read
+//! them: as long as a peer can read, entries do not expire because of the store. A retained target
+//! is a local assumption of this router: it is not sent to peers, and a list from a peer that
+//! observed no outage ends it.
 //!
 //! A server may restart under the same identity. Its newest incarnation is remembered for longer
 //! than messages about an earlier one can be in flight, so such messages have no effect, whoever
--- a/crates/dispatch/src/registry/incarnations.rs
+++ b/crates/dispatch/src/registry/incarnations.rs
@@ -39,8 +39,8 @@
         self.by_id.get(id).map(|it| it.born)
     }
 
-    /// Drops incarnations that have not been listed for [`INCARNATION_RETENTION`]; after that, any start time of
-    /// their servers is accepted.
+    /// Drops incarnations that have not been listed for [`INCARNATION_RETENTION`]; after that, any
+    /// start time of their servers is accepted.
     pub(super) fn prune(&mut self, now: Duration) {
         self.by_id
             .retain(|_, it| now.saturating_sub(it.listed_at) < INCARNATION_RETENTION);
