--- a/crates/path/src/memories.rs
+++ b/crates/path/src/memories.rs
@@ -1,8 +1,8 @@
-//! Asks the engines of this router's cells what they keep of prompts.
+//! Polling of the prefix caches of the engines in this router's cells.
 //!
-//! Only the owner of a cell asks, as it alone places requests there; a new owner asks for all
-//! from the first on. A question that brings nothing is asked again in the next round; what is
-//! known gets old meanwhile and is not used any more (`dunlinward_dispatch::cache`).
+//! Only the owner of a cell polls its engines, as only it places requests there; a new owner starts
+//! with complete listings. A failed query is sent again in the next round; meanwhile the known
+//! content ages until it is no longer used (`dunlinward_dispatch::cache`).
 
 use std::cell::RefCell;
 use std::cmp::Ordering;
@@ -24,169 +24,172 @@
 use crate::node::Node;
 use crate::pool;
 
-/// Processor time of a question and its answer: calls to the system, decoding some dozen changes.
-/// An estimate, not measured apart.
-const QUESTION_COST: Duration = Duration::from_micros(400);
+/// Processor time of a query and its answer: system calls, and decoding of some dozen
+/// changes.
+const QUERY_COST: Duration = Duration::from_micros(400);
 
-/// Part of its processor that a router spends on questions at the most.
-const PROCESSOR_PART: f64 = 0.04;
+/// Largest fraction of its processor that a router spends on queries.
+const MAX_PROCESSOR_FRACTION: f64 = 0.04;
 
-/// Longest time for a round of questions. Where it would take longer, none is asked: an owner of 60
-/// engines on half a core that asked each every 0.4 s was behind 28 times in a minute, and those
-/// that took its place knew nothing. Callers got 0.533 of the worth they asked for, less prices,
-/// with a round of 2.4 s 0.618, without questions 0.672 (one day of high load at 85 routers).
-const ROUND_MOST: Duration = Duration::from_millis(600);
+/// Longest duration of a round of queries. If it would take longer, no engine is queried. An owner
+/// of 60 engines on half a core that queried each every 0.4 s was overloaded 28 times per minute,
+/// and the routers that replaced it knew nothing about the caches. Over one day of high load at 85
+/// routers, clients got 0.533 of the worth that they asked for, less prices; with a round of 2.4 s
+/// they got 0.618, and without queries 0.672.
+const MAX_ROUND: Duration = Duration::from_millis(600);
 
-/// Time for a connection, and for an answer.
+/// Timeout of opening a connection, and of an answer.
 const TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Largest answer that is read: some ten thousand parts.
-const LARGEST: usize = 1024 * 1024;
+/// Largest answer that is read: about ten thousand parts.
+const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
-/// Why a question brought nothing.
+/// Why a query failed.
 #[derive(Debug, Snafu)]
 enum Error {
     #[snafu(display("{source}"))]
     Open { source: pool::Error },
-    #[snafu(display("it must get nothing: {reason}"))]
+    #[snafu(display("no requests may be sent to it: {reason}"))]
     Barred { reason: &'static str },
     #[snafu(display("no answer within {} ms", TIMEOUT.as_millis()))]
-    Silent,
+    Timeout,
     #[snafu(display("{source}"))]
     Http { source: hyper::Error },
     #[snafu(display("{source}"))]
     Body {
         source: Box<dyn std::error::Error + Send + Sync>,
     },
-    #[snafu(display("status {status}"))]
+    #[snafu(display("unexpected status {status}"))]
     Status { status: StatusCode },
-    #[snafu(display("malformed: {reason}"))]
+    #[snafu(display("malformed answer: {reason}"))]
     Malformed { reason: &'static str },
 }
 
-/// Engines that are being asked, and whether the last question to each brought nothing.
+/// State of the last query to each engine.
 #[derive(Default)]
-struct Asked {
-    pending: RefCell<HashMap<Tag, Pending>>,
+struct Polls {
+    progress: RefCell<HashMap<Tag, Progress>>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Pending {
-    /// An answer is waited for.
-    Asking,
-    /// The last question was answered.
+enum Progress {
+    /// No answer has arrived yet.
+    Running,
+    /// The last query was answered.
     Answered,
-    /// It was not.
+    /// The last query failed.
     Failed,
 }
 
-/// Asks for as long as the router runs.
-pub async fn watch(node: Rc<Node>) {
+/// Polls engines for as long as the router runs.
+pub async fn run(node: Rc<Node>) {
     let interval = node.settings.memory_interval;
     if interval.is_zero() {
         return;
     }
-    let asked = Rc::new(Asked::default());
+    let polls = Rc::new(Polls::default());
     loop {
-        let engines = node.own_engines();
-        asked.keep(&engines);
-        let Some(pause) = pause(interval, engines.len(), node.settings.millicores) else {
+        let engines = node.owned_engines();
+        polls.retain(&engines);
+        let Some(query_interval) =
+            query_interval(interval, engines.len(), node.settings.millicores)
+        else {
             tokio::time::sleep(interval).await;
             continue;
         };
         for engine in engines {
-            if let Some(before) = asked.begin(engine.tag()) {
-                spawn_local(ask(node.clone(), asked.clone(), engine, before));
+            if let Some(last) = polls.start(engine.tag()) {
+                spawn_local(poll(node.clone(), polls.clone(), engine, last));
             }
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(query_interval).await;
         }
     }
 }
 
-/// Time between two questions: the engines of a round are asked evenly over `interval`, or over a
-/// longer time if the processor is small. None if nothing should be asked.
+/// Interval between two queries: the engines of a round are polled evenly over `interval`, or over a
+/// longer time on a small processor. `None` if no engine should be queried.
 #[must_use]
-pub fn pause(interval: Duration, engines: usize, millicores: u32) -> Option<Duration> {
+pub fn query_interval(interval: Duration, engines: usize, millicores: u32) -> Option<Duration> {
     let engines = u32::try_from(engines).ok().filter(|it| *it > 0)?;
     let processor = f64::from(millicores.max(1)) / 1_000.0;
-    let least = QUESTION_COST.div_f64(PROCESSOR_PART * processor);
-    let pause = (interval / engines).max(least);
-    (pause * engines <= interval.max(ROUND_MOST)).then_some(pause)
+    let min_interval = QUERY_COST.div_f64(MAX_PROCESSOR_FRACTION * processor);
+    let query_interval = (interval / engines).max(min_interval);
+    (query_interval * engines <= interval.max(MAX_ROUND)).then_some(query_interval)
 }
 
-impl Asked {
-    /// Forgets all but these engines, and those whose answer is waited for.
-    fn keep(&self, engines: &[Arc<Target>]) {
-        let kept = |tag| engines.iter().any(|it| it.tag() == tag);
-        let mut pending = self.pending.borrow_mut();
-        pending.retain(|tag, it| *it == Pending::Asking || kept(*tag));
+impl Polls {
+    /// Removes engines that are not in `engines`, except those that have not answered yet.
+    fn retain(&self, engines: &[Arc<Target>]) {
+        let retained = |tag| engines.iter().any(|it| it.tag() == tag);
+        let mut progress = self.pending.borrow_mut();
+        progress.retain(|tag, it| *it == Progress::Running || retained(*tag));
     }
 
-    /// Begins to ask an engine; says how the last question ended, or nothing if its answer is
-    /// still waited for.
-    fn begin(&self, tag: Tag) -> Option<Pending> {
-        let before = self.pending.borrow_mut().insert(tag, Pending::Asking);
-        match before {
-            Some(Pending::Asking) => None,
-            Some(before) => Some(before),
-            None => Some(Pending::Answered),
+    /// Starts a query to an engine; returns how the last one ended, or `None` if it has not ended
+    /// yet.
+    fn start(&self, tag: Tag) -> Option<Progress> {
+        let last = self.progress.borrow_mut().insert(tag, Progress::Running);
+        match last {
+            Some(Progress::Running) => None,
+            Some(last) => Some(last),
+            None => Some(Progress::Answered),
         }
     }
 }
 
-async fn ask(node: Rc<Node>, asked: Rc<Asked>, engine: Arc<Target>, before: Pending) {
+async fn poll(node: Rc<Node>, polls: Rc<Polls>, engine: Arc<Target>, last: Progress) {
     let tag = engine.tag();
-    let question = node.state.borrow().caches.next_query(tag, node.now());
-    let answer = exchange(&node, &engine, question).await;
-    let after = match &answer {
-        Ok(_) => Pending::Answered,
-        Err(_) => Pending::Failed,
+    let query = node.state.borrow().caches.next_query(tag, node.now());
+    let answer = send_query(&node, &engine, query).await;
+    let outcome = match &answer {
+        Ok(_) => Progress::Answered,
+        Err(_) => Progress::Failed,
     };
     match answer {
-        Ok(news) => node.take_news(&engine, question, news),
+        Ok(update) => node.apply_cache_update(&engine, query, update),
         Err(error) => {
             node.metrics.add("memory_questions", "failed", 1);
-            if before != Pending::Failed {
+            if last != Progress::Failed {
                 let line = node.journal.line("memory_unknown");
                 let line = line.with("target", engine.id.as_ref());
                 drop(line.with("error", error.to_string()));
             }
         }
     }
-    asked.pending.borrow_mut().insert(tag, after);
+    polls.progress.borrow_mut().insert(tag, outcome);
 }
 
-async fn exchange(node: &Rc<Node>, engine: &Target, question: Query) -> Result<Update, Error> {
+async fn send_query(node: &Rc<Node>, engine: &Target, query: Query) -> Result<Update, Error> {
     let tag = engine.tag();
-    let kept = node.pool.take(tag, node.now());
-    let mut connection = if let Some(connection) = kept {
+    let retained = node.pool.take(tag, node.now());
+    let mut connection = if let Some(connection) = retained {
         connection
     } else {
         node.metrics.add("connections", "memory", 1);
         let opened = pool::open(engine.address, TIMEOUT).await;
         opened.context(OpenSnafu)?
     };
-    let barred = node
+    let bar = node
         .state
         .borrow()
         .barred(engine, Constraint::ANY, node.now());
-    if let Some(bar) = barred {
+    if let Some(bar) = bar {
         return BarredSnafu { reason: bar.name() }.fail();
     }
     let mut request = Request::new(Full::new(Bytes::new()));
-    *request.uri_mut() = node.dialect.cache_path(question);
+    *request.uri_mut() = node.dialect.cache_path(query);
     if let Ok(host) = HeaderValue::from_str(&engine.address.to_string()) {
         request.headers_mut().insert(HOST, host);
     }
-    let answering = async {
+    let exchange = async {
         let response = connection.sender.send_request(request).await;
         let (head, body) = response.context(HttpSnafu)?.into_parts();
-        let body = Limited::new(body, LARGEST).collect().await;
+        let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
         let body = body.context(BodySnafu)?.to_bytes();
         Ok((head, body))
     };
-    let answer = tokio::time::timeout(TIMEOUT, answering).await;
-    let (head, body) = answer.ok().context(SilentSnafu)??;
+    let answer = tokio::time::timeout(TIMEOUT, exchange).await;
+    let (head, body) = answer.ok().context(TimeoutSnafu)??;
     node.pool
         .put(tag, connection, pool::keep(&head.headers), node.now());
     if head.status != StatusCode::OK {
@@ -195,15 +198,15 @@
         }
         .fail();
     }
-    let news = node.dialect.cache_news(question, &body);
-    news.map_err(|error| Error::Malformed {
+    let update = node.dialect.cache_news(query, &body);
+    update.map_err(|error| Error::Malformed {
         reason: error.reason,
     })
 }
 
 impl Node {
-    /// The engines of the cells that this router owns.
-    fn own_engines(&self) -> Vec<Arc<Target>> {
+    /// Engines in the cells that this router owns.
+    fn owned_engines(&self) -> Vec<Arc<Target>> {
         let state = self.state.borrow();
         let Some(table) = &state.table else {
             return Vec::new();
@@ -220,35 +223,36 @@
         engines.cloned().collect()
     }
 
-    fn take_news(&self, engine: &Target, question: Query, news: Update) {
+    fn apply_cache_update(&self, engine: &Target, query: Query, update: Update) {
         let (tag, now) = (engine.tag(), self.now());
-        if !self.same_start(engine, news.born) {
+        if !self.is_same_incarnation(engine, update.born) {
             return;
         }
-        let finding = self
+        let status = self
             .state
             .borrow_mut()
             .caches
-            .apply(tag, question, news, now);
-        let label = match finding {
+            .apply(tag, query, update, now);
+        let label = match status {
             Status::Current => "current",
             Status::Gap => "gap",
             Status::Restarted => "restarted",
         };
         self.metrics.add("memory_questions", label, 1);
-        if finding != Status::Current {
+        if status != Status::Current {
             let line = self.journal.line("memory_doubtful");
             let line = line.with("target", engine.id.as_ref());
             drop(line.with("finding", label));
         }
     }
 
-    /// Whether what an engine says is of the start that it was asked for. A later one ends that.
-    fn same_start(&self, engine: &Target, says: Option<u64>) -> bool {
-        let (Some(known), Some(says)) = (engine.born, says) else {
+    /// Whether an answer comes from the incarnation of the engine that was queried. If it comes
+    /// from a later one, the known incarnation has ended.
+    fn is_same_incarnation(&self, engine: &Target, reported: Option<u64>) -> bool {
+        let (Some(known), Some(reported)) = (engine.born, reported) else {
             return true;
         };
-        match says.cmp(&known) {
+        match reported.cmp(&known) {
             Ordering::Equal => true,
             Ordering::Less => {
                 self.metrics.add("memory_questions", "earlier_start", 1);
@@ -256,7 +260,7 @@
             }
             Ordering::Greater => {
                 self.metrics.add("memory_questions", "later_start", 1);
-                self.superseded(engine, says);
+                self.superseded(engine, reported);
                 false
             }
         }
--- a/crates/path/src/strain.rs
+++ b/crates/path/src/strain.rs
@@ -1,113 +1,114 @@
-//! Whether this router keeps up with its callers.
+//! Detection of overload of this router.
 //!
-//! Callers are spread unevenly over routers, and one large caller may be more than a
-//! small machine can carry. A router sees that by its own timers: they fire late
-//! while its event loop is behind. One that is behind says that it is not ready and
-//! asks its callers to close their connections, so that new ones go to others, and
-//! owns no cells until it has caught up. The same holds for one that can't accept
-//! connections, as its descriptors are used up.
+//! Clients are spread unevenly over routers, and one large client may send more than a small
+//! machine can handle. A router detects this by its own timers, which fire late while its event
+//! loop is overloaded. An overloaded router reports that it is not ready and asks its clients to
+//! close their connections, so that new connections go to other routers, and it owns no cells until
+//! it has recovered. The same holds for a router that cannot accept connections because its file
+//! descriptors are used up.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use crate::node::Node;
 
-/// Weight of the newest lateness in the mean; with ten a second, a mean over half a second.
-const NEWEST: f64 = 0.2;
+/// Weight of the newest sample in the mean lateness: at ten samples per second, the mean covers
+/// about half a second.
+const SAMPLE_WEIGHT: f64 = 0.2;
 
-/// Mean lateness at which a router is behind: a tenth of the shortest objective known.
-const BEHIND: f64 = 0.015;
+/// Mean lateness from which a router is overloaded: a tenth of the shortest known objective.
+const OVERLOAD_LATENESS_S: f64 = 0.015;
 
-/// Mean lateness at which it has caught up.
-const CAUGHT_UP: f64 = 0.005;
+/// Mean lateness below which it has recovered.
+const RECOVERY_LATENESS_S: f64 = 0.005;
 
-/// First time for which it counts as behind: the platform looks once a second, and must
-/// miss it twice. Twice as long each time that it is soon behind again, as the same
-/// callers come back.
-const FIRST: Duration = Duration::from_millis(2_500);
+/// Shortest time for which a router counts as overloaded: the platform checks readiness once per
+/// second and must see two failures. Doubles each time that the router is overloaded again soon
+/// after its recovery, as the same clients return.
+const MIN_OVERLOAD: Duration = Duration::from_millis(2_500);
 
-/// Longest such time.
-const LONGEST: Duration = Duration::from_secs(20);
+/// Limit of that time after repeated overload.
+const MAX_OVERLOAD: Duration = Duration::from_secs(20);
 
-/// A router that is behind again within this time after it caught up is so soon.
-const SOON: Duration = Duration::from_secs(8);
+/// Time after recovery within which another overload counts as a relapse.
+const RELAPSE_WINDOW: Duration = Duration::from_secs(8);
 
-/// How late this router's timers fire.
+/// Overload state, from the lateness of this router's timers.
 #[derive(Debug, Default)]
 pub struct Strain {
     /// Mean lateness in seconds.
-    mean: Cell<f64>,
-    /// Until when it counts as behind at least, while it does.
-    until: Cell<Option<Duration>>,
-    /// How long it counted as behind the last time.
-    last: Cell<Duration>,
-    caught_up: Cell<Duration>,
+    mean_s: Cell<f64>,
+    /// While overloaded: the earliest end of the overload.
+    min_end: Cell<Option<Duration>>,
+    /// Minimum duration of the last overload.
+    last_duration: Cell<Duration>,
+    recovered_at: Cell<Duration>,
 }
 
 impl Strain {
-    /// Whether the router is behind.
+    /// Whether the router is overloaded.
     #[must_use]
     pub fn behind(&self) -> bool {
-        self.until.get().is_some()
+        self.min_end.get().is_some()
     }
 
-    /// Notes a timer that fired `late`; true if that changes whether it is behind.
+    /// Records a timer that fired `late`; returns whether the overload state changed.
     pub fn note(&self, late: Duration, now: Duration) -> bool {
-        let mean = self.mean.get();
-        let mean = mean + (late.as_secs_f64() - mean) * NEWEST;
-        self.mean.set(mean);
-        match self.until.get() {
-            None if mean >= BEHIND => self.fall_behind(now),
-            Some(until) if mean < CAUGHT_UP && now >= until => {
-                self.until.set(None);
-                self.caught_up.set(now);
+        let mean_s = self.mean_s.get();
+        let mean_s = mean_s + (late.as_secs_f64() - mean_s) * SAMPLE_WEIGHT;
+        self.mean_s.set(mean_s);
+        match self.min_end.get() {
+            None if mean_s >= OVERLOAD_LATENESS_S => self.start_overload(now),
+            Some(min_end) if mean_s < RECOVERY_LATENESS_S && now >= min_end => {
+                self.min_end.set(None);
+                self.recovered_at.set(now);
             }
             _ => return false,
         }
         true
     }
 
-    /// Notes that a connection could not be accepted; true if that changes whether it is behind.
+    /// Records that a connection could not be accepted; returns whether the overload state changed.
     pub fn refusing(&self, now: Duration) -> bool {
         let before = self.behind();
         if before {
-            let until = self.until.get().unwrap_or_default();
-            self.until.set(Some(until.max(now + FIRST)));
+            let min_end = self.min_end.get().unwrap_or_default();
+            self.min_end.set(Some(min_end.max(now + MIN_OVERLOAD)));
         } else {
-            self.fall_behind(now);
+            self.start_overload(now);
         }
         !before
     }
 
-    fn fall_behind(&self, now: Duration) {
-        let last = self.last.get();
-        let soon = now.saturating_sub(self.caught_up.get()) < SOON;
-        let time = if soon && !last.is_zero() {
-            (last * 2).min(LONGEST)
+    fn start_overload(&self, now: Duration) {
+        let last_duration = self.last_duration.get();
+        let relapsed = now.saturating_sub(self.recovered_at.get()) < RELAPSE_WINDOW;
+        let duration = if relapsed && !last_duration.is_zero() {
+            (last_duration * 2).min(MAX_OVERLOAD)
         } else {
-            FIRST
+            MIN_OVERLOAD
         };
-        self.last.set(time);
-        self.until.set(Some(now + time));
+        self.last_duration.set(duration);
+        self.min_end.set(Some(now + duration));
     }
 }
 
 impl Node {
-    /// Notes a timer of this router that fired late.
+    /// Records a timer of this router that fired late.
     pub(crate) fn note_lateness(&self, late: Duration) {
         if self.strain.note(late, self.now()) {
-            self.tell_strain(late);
+            self.report_overload(late);
         }
     }
 
-    /// Notes that a connection could not be accepted: callers should go elsewhere.
+    /// Records that a connection could not be accepted, so that clients are sent to other routers.
     pub(crate) fn note_refusing(&self) {
         if self.strain.refusing(self.now()) {
-            self.tell_strain(Duration::ZERO);
+            self.report_overload(Duration::ZERO);
         }
     }
 
-    fn tell_strain(&self, late: Duration) {
+    fn report_overload(&self, late: Duration) {
         let behind = self.strain.behind();
         let event = if behind { "behind" } else { "caught_up" };
         let line = self.journal.line(event).with_ms("late_ms", late);
--- a/crates/path/tests/memories.rs
+++ b/crates/path/tests/memories.rs
@@ -1,20 +1,20 @@
-//! How often engines are asked what they keep.
+//! Interval between queries to the caches of engines.
 
 use std::time::Duration;
 
-use dunlinward_path::memories::pause;
+use dunlinward_path::memories::query_interval;
 
 const INTERVAL: Duration = Duration::from_millis(400);
 
-/// An owner asks nine engines in 0.4 s on a quarter of a core; on an eighth it takes longer, and
-/// 60 engines are too many for half a core: knowing little of them is better than being behind.
+/// An owner polls nine engines in 0.4 s on a quarter of a core. On an eighth a round takes longer,
+/// and 60 engines are too many for half a core: unknown caches cost less than an overloaded router.
 #[test]
-fn an_owner_asks_only_as_many_engines_as_its_processor_carries() {
+fn owner_polls_no_more_engines_than_its_processor_can_handle() {
     let round = |engines, millicores| {
-        let pause = pause(INTERVAL, engines, millicores)?;
+        let query_interval = query_interval(INTERVAL, engines, millicores)?;
         u32::try_from(engines)
             .ok()
-            .map(|it| (pause * it).as_millis())
+            .map(|it| (query_interval * it).as_millis())
     };
     assert_eq!(round(9, 250), Some(399));
     assert_eq!(round(6, 125), Some(480));
