--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -16,7 +16,7 @@
 
 use crate::leaving;
 use crate::node::Node;
-use crate::view::{self, Part, Wanted};
+use crate::view::{self, Kind, Selection};
 
 /// Routers that are told of a change at once.
 pub(crate) const TOLD: usize = 3;
@@ -150,7 +150,7 @@
     }
     leaving::compare(node, card.address, views.leaving);
     let news = compare(node, views, now);
-    if news.wanted != Wanted::default() {
+    if news.wanted != Selection::default() {
         view::fetch(node, card.address, news.wanted);
     }
     if news.younger {
@@ -162,7 +162,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct News {
     /// Views that the sender knows better.
-    wanted: Wanted,
+    wanted: Selection,
     /// Whether a view that both know is much younger than this router knew.
     younger: bool,
 }
@@ -175,20 +175,20 @@
     // A peer that knows of none will ask itself, but it is known then that the store keeps none.
     let differs = views.quarantine.is_some_and(|it| it != own && it != 0);
     state.quarantine_known |= views.quarantine.is_some() && !differs;
-    let quarantine = differs && node.fetching.quarantine.due(now);
-    news.wanted = news.wanted.with(Part::Quarantine, quarantine);
+    let quarantine = differs && node.fetching.quarantine.is_due(now);
+    news.wanted = news.wanted.with(Kind::Quarantine, quarantine);
     let younger = |at: Duration, known: Option<Duration>| {
         known.is_some_and(|known| at >= known + YOUNGER_TOLD)
     };
     let differs = views.evacuations != state.evacuations.digest();
     let unknown = differs && views.evacuations != 0;
-    let evacuations = unknown && node.fetching.evacuations.due(now);
-    news.wanted = news.wanted.with(Part::Evacuations, evacuations);
+    let evacuations = unknown && node.fetching.evacuations.is_due(now);
+    news.wanted = news.wanted.with(Kind::Evacuations, evacuations);
     let version = state.table.as_ref().map_or(0, |it| it.version());
     let known = (1..=version).contains(&views.configuration);
     state.compared |= known && !unknown;
     let newer = views.configuration > version;
-    news.wanted = news.wanted.with(Part::Configuration, newer);
+    news.wanted = news.wanted.with(Kind::Configuration, newer);
     if version > 0 && views.configuration == version && !differs {
         let known = state.configuration_reads.at();
         let reading = views.configuration_read;
@@ -208,6 +208,6 @@
         return news;
     }
     let later = known.is_none_or(|known| at > known + YOUNGER);
-    news.wanted = news.wanted.with(Part::Targets, later);
+    news.wanted = news.wanted.with(Kind::Targets, later);
     news
 }
--- a/crates/path/src/memories.rs
+++ b/crates/path/src/memories.rs
@@ -121,7 +121,7 @@
     /// Removes engines that are not in `engines`, except those that have not answered yet.
     fn retain(&self, engines: &[Arc<Target>]) {
         let retained = |tag| engines.iter().any(|it| it.tag() == tag);
-        let mut progress = self.pending.borrow_mut();
+        let mut progress = self.progress.borrow_mut();
         progress.retain(|tag, it| *it == Progress::Running || retained(*tag));
     }
 
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -35,7 +35,7 @@
 use crate::settings::Settings;
 use crate::state::State;
 use crate::strain::Strain;
-use crate::view::Fetching;
+use crate::view::Fetches;
 use crate::wake::Wake;
 
 /// Time after its start for which a router waits to hear what is quarantined before it is ready: peers
@@ -102,7 +102,7 @@
     pub(crate) courier: Courier,
     pub(crate) inbox: Buffer,
     pub(crate) gossip: Gossip,
-    pub(crate) fetching: Fetching,
+    pub(crate) fetching: Fetches,
     pub(crate) pending: Pending,
     pub(crate) strain: Strain,
     pub(crate) state: RefCell<State>,
@@ -139,7 +139,7 @@
             courier: Courier::default(),
             inbox: Buffer::default(),
             gossip: Gossip::default(),
-            fetching: Fetching::default(),
+            fetching: Fetches::default(),
             pending: Pending::default(),
             strain: Strain::default(),
             state: RefCell::new(state),
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -1,4 +1,4 @@
-//! The list of targets at this router: how it is taken, and what a change of it ends.
+//! The router's list of targets: how updates are applied, and what changes of it cause.
 
 use std::time::Duration;
 
@@ -10,14 +10,14 @@
 use crate::gossip;
 use crate::node::{List, Node, STORE, Told};
 
-/// Source of a list that a peer has read.
+/// Source of a list that was received from a peer.
 const PEER: &str = "peer";
 
-/// Lines on changes of a list that a peer has read.
-const LINES: usize = 8;
+/// Limit of log lines about the changes of a list that a peer has read.
+const MAX_LOGGED_CHANGES: usize = 8;
 
 impl Node {
-    /// Takes a list of targets.
+    /// Applies a complete list of targets.
     pub fn take_targets(&self, list: List, source: &str) {
         let as_of = list.as_of;
         let (first, changes) = {
@@ -37,88 +37,96 @@
             let age = self.now().saturating_sub(as_of);
             drop(line.with_ms("age_ms", age));
         }
-        // Of the first list the count says enough: its targets are nobody's change.
+        // The changes of the first list are not handled one by one: the log line above has their
+        // number, and none of its targets has just been added.
         if !first {
-            self.tell_changes(&changes, source, as_of);
+            self.handle_changes(&changes, source, as_of);
         }
-        self.targets_changed(!changes.is_empty(), source);
+        self.after_update(!changes.is_empty(), source);
     }
 
-    /// Takes what was written to the store's log behind the known list, up to `end`.
+    /// Applies what was written to the store's log after the known list, up to `end`.
     pub fn take_targets_delta(&self, delta: Delta, end: Position, as_of: Duration) {
         let changes = self.state.borrow_mut().take_delta(delta, end, as_of);
         let Some(changes) = changes else {
             return;
         };
-        self.tell_changes(&changes, STORE, as_of);
-        self.targets_changed(!changes.is_empty(), STORE);
+        self.handle_changes(&changes, STORE, as_of);
+        self.after_update(!changes.is_empty(), STORE);
     }
 
-    /// Takes what a peer's list has that this router's has not.
-    pub(crate) fn take_targets_told(&self, told: Told) {
-        let as_of = told.as_of;
+    /// Applies the entries of a peer's list that this router's list lacks.
+    pub(crate) fn take_targets_told(&self, update: Told) {
+        let as_of = update.as_of;
         let first = self.targets_at().is_none();
         if first {
             let list = List {
-                targets: told.delta.written,
+                targets: update.delta.written,
                 unreadable: Vec::new(),
                 as_of,
-                settled: told.settled,
-                reading: Some(told.reading),
-                position: told.position,
+                settled: update.settled,
+                reading: Some(update.reading),
+                position: update.position,
             };
             self.take_targets(list, PEER);
             return;
         }
-        let changes = self.state.borrow_mut().take_told(told);
-        self.tell_changes(&changes, PEER, as_of);
-        self.targets_changed(!changes.is_empty(), PEER);
+        let changes = self.state.borrow_mut().take_told(update);
+        self.handle_changes(&changes, PEER, as_of);
+        self.after_update(!changes.is_empty(), PEER);
     }
 
-    /// The list was taken or confirmed; `changed` if anything is new.
-    fn targets_changed(&self, changed: bool, source: &str) {
+    /// Called after a list was applied or confirmed. Announces to peers a list that this router has
+    /// read itself, and any `changed` list; after a change, also closes connections to removed
+    /// targets and has waiting requests placed again.
+    fn after_update(&self, changed: bool, source: &str) {
         if source == STORE || changed {
             gossip::spread(self);
         }
         if changed {
-            self.pool.trim(self.now(), |tag| self.gone(tag));
+            self.pool.trim(self.now(), |tag| self.is_removed(tag));
             self.room_came();
         }
     }
 
-    /// Carries out the changes of a list. Its reader tells the log of each, the others of a few: in a
-    /// large fleet a release would else fill the logs of all routers.
-    fn tell_changes(&self, changes: &[Change], source: &str, as_of: Duration) {
-        let most = if source == STORE { usize::MAX } else { LINES };
+    /// Handles the changes of a list. The router that read the list from the store logs all of
+    /// them, the others only the first [`MAX_LOGGED_CHANGES`]: otherwise a release in a large fleet
+    /// would fill the logs of all routers.
+    fn handle_changes(&self, changes: &[Change], source: &str, as_of: Duration) {
+        let limit = if source == STORE {
+            usize::MAX
+        } else {
+            MAX_LOGGED_CHANGES
+        };
         for (number, change) in changes.iter().enumerate() {
-            self.carry_out(change);
-            if number < most {
-                self.tell_change(change, source, as_of);
+            self.handle_change(change);
+            if number < limit {
+                self.log_change(change, source, as_of);
             }
         }
-        let more = changes.len().saturating_sub(most);
-        if more > 0 {
+        let unlogged = changes.len().saturating_sub(limit);
+        if unlogged > 0 {
             let line = self.journal.line("targets_changed");
-            let line = line.with("more", more).with("source", source);
+            let line = line.with("more", unlogged).with("source", source);
             drop(line.with_ms("age_ms", self.now().saturating_sub(as_of)));
         }
     }
 
-    fn carry_out(&self, change: &Change) {
+    fn handle_change(&self, change: &Change) {
         if let Change::Ended(target) = change {
             cut::ended(self, target);
-            self.forget(target.tag());
+            self.remove_state(target.tag());
         }
     }
 
-    /// Carries out a change that a target or a peer has told, and tells the log.
+    /// Handles and logs a change that was reported by a target or a peer.
     pub(crate) fn apply_change(&self, change: &Change, source: &str, as_of: Duration) {
-        self.carry_out(change);
-        self.tell_change(change, source, as_of);
+        self.handle_change(change);
+        self.log_change(change, source, as_of);
     }
 
-    /// The line on a change of the list of targets.
-    fn tell_change(&self, change: &Change, source: &str, as_of: Duration) {
+    /// Logs a change of the list of targets.
+    fn log_change(&self, change: &Change, source: &str, as_of: Duration) {
         let (event, target) = match change {
             Change::Added(target) => ("target_came", target),
             Change::Leaving(target) => ("target_leaves", target),
@@ -132,8 +140,8 @@
         drop(line.with("source", source).with_ms("age_ms", age));
     }
 
-    /// A target says that it has started again, at `born`: nothing of the earlier start holds. It
-    /// gets work again as soon as it is listed.
+    /// Handles a target's report that it restarted at `born`: the state of earlier incarnations is
+    /// discarded. The target receives requests again as soon as it is listed.
     pub(crate) fn superseded(&self, target: &Target, born: u64) {
         let now = self.now();
         let change = self
@@ -143,16 +151,16 @@
             .supersede(&target.id, born, now);
         if let Some(change) = change {
             self.apply_change(&change, "target", now);
-            self.pool.trim(now, |tag| self.gone(tag));
+            self.pool.trim(now, |tag| self.is_removed(tag));
             self.room_came();
         }
     }
 
-    fn gone(&self, tag: Tag) -> bool {
+    fn is_removed(&self, tag: Tag) -> bool {
         self.state.borrow().registry.get(tag).is_none()
     }
 
-    fn forget(&self, tag: Tag) {
+    fn remove_state(&self, tag: Tag) {
         self.state.borrow_mut().forget(tag);
     }
 
@@ -163,28 +171,28 @@
         state.registry.targets().any(|it| it.id.as_ref() == id)
     }
 
-    /// How many targets are known.
+    /// Number of known targets.
     #[must_use]
     pub fn targets_known(&self) -> usize {
         self.state.borrow().registry.targets().count()
     }
 
-    /// When the list of targets was true, its own or confirmed by a peer.
+    /// When the list of targets was current, as read by this router or confirmed by a peer.
     #[must_use]
     pub fn targets_at(&self) -> Option<Duration> {
         self.look_for_wake();
         self.state.borrow().registry.read_at()
     }
 
-    /// How long ago that was.
+    /// Time since the list of targets was current.
     #[must_use]
     pub fn targets_age(&self) -> Option<Duration> {
         let read_at = self.targets_at();
         read_at.map(|at| self.now().saturating_sub(at))
     }
 
-    /// Where the store's log goes on behind the list of targets; none if the list has to be read as a
-    /// whole.
+    /// Position in the store's log after the list of targets; `None` if the whole list must be
+    /// read.
     #[must_use]
     pub fn targets_position(&self) -> Option<Position> {
         let state = self.state.borrow();
@@ -192,19 +200,19 @@
         position.filter(|it| Some(it.era) == state.store.newest())
     }
 
-    /// The store has forgotten what lies behind the list of targets.
+    /// Discards the log position, as the store no longer has the records after it.
     pub fn forget_targets_position(&self) {
         self.state.borrow_mut().registry_position = None;
     }
 
-    /// Another target has this one's address.
+    /// Removes a target whose address is now used by another one.
     pub fn replaced(&self, target: &Target) {
         self.state
             .borrow_mut()
             .registry
             .remove_replaced(target.tag());
         cut::ended(self, target);
-        self.forget(target.tag());
+        self.remove_state(target.tag());
         let line = self.journal.line("target_replaced");
         drop(line.with("target", target.id.as_ref()));
     }
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -1,8 +1,8 @@
-//! Views of the platform taken over from a peer.
+//! Synchronization of views of the platform with peers.
 //!
-//! A router whose configuration or list of targets is older than a peer's fetches
-//! it from that peer over TCP: the store may not answer it, and one that reads for
-//! all spares the others a call.
+//! A router whose configuration or list of targets is older than a peer's fetches it from that peer
+//! over TCP: the store may not answer this router, and a view that one router reads for all saves
+//! the others a call.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -22,54 +22,54 @@
 
 use crate::node::{Node, Told};
 
-/// Largest view in bytes.
-const LARGEST: u64 = 32 * 1024 * 1024;
+/// Limit of an encoded view.
+const MAX_VIEW_BYTES: u64 = 32 * 1024 * 1024;
 
-/// Time for a view to come over.
+/// Timeout of a fetch.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A view that a peer can be asked for; its bit in the question.
+/// A view that can be fetched; its value is its bit in a [`Selection`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum Kind {
     /// The configuration.
     Configuration = 1,
     /// The list of targets.
     Targets = 2,
-    /// What is known of contents under which targets ended.
+    /// Records of contents under which targets terminated.
     Quarantine = 4,
-    /// The orders to evacuate failure domains.
+    /// Orders to evacuate failure domains.
     Evacuations = 8,
 }
 
-/// What is asked for.
+/// Set of views to fetch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Wanted(u8);
+pub struct Selection(u8);
 
-impl Wanted {
-    /// Also a view, if it is wanted.
+impl Selection {
+    /// Adds a view if `wanted` is set.
     #[must_use]
-    pub fn with(self, part: Part, wanted: bool) -> Self {
-        Self(self.0 | if wanted { part as u8 } else { 0 })
+    pub fn with(self, kind: Kind, wanted: bool) -> Self {
+        Self(self.0 | if wanted { kind as u8 } else { 0 })
     }
 
-    /// Whether a view is asked for.
+    /// Whether the set contains a view.
     #[must_use]
-    pub fn has(self, part: Part) -> bool {
-        self.0 & part as u8 != 0
+    pub fn contains(self, kind: Kind) -> bool {
+        self.0 & kind as u8 != 0
     }
 }
 
-/// What a router asks a peer for.
+/// Request for views of a peer.
 #[derive(Debug, Serialize, Deserialize)]
-struct Question {
-    wanted: Wanted,
-    /// The list of targets that it has, if it asks for another.
+struct Request {
+    wanted: Selection,
+    /// Checksums of the requester's list of targets, if it requests this list.
     targets: Checksums,
 }
 
-impl Question {
-    fn new(node: &Node, wanted: Wanted) -> Self {
-        let targets = if wanted.has(Part::Targets) {
+impl Request {
+    fn new(node: &Node, wanted: Selection) -> Self {
+        let targets = if wanted.contains(Kind::Targets) {
             node.state.borrow().registry.checksums()
         } else {
             Checksums::default()
@@ -77,7 +77,7 @@
         Self { wanted, targets }
     }
 
-    /// Its bytes, their length before them.
+    /// Encodes it, with its length as a prefix.
     fn encode(&self) -> std::io::Result<Vec<u8>> {
         let encoded = bincode::serde::encode_to_vec(self, standard());
         let encoded = encoded.map_err(std::io::Error::other)?;
@@ -92,77 +92,78 @@
         let mut bytes = vec![0; usize::from(length)];
         stream.read_exact(&mut bytes).await?;
         let decoded = bincode::serde::decode_from_slice(&bytes, standard());
-        let (question, _) = decoded.map_err(std::io::Error::other)?;
-        Ok(question)
+        let (request, _) = decoded.map_err(std::io::Error::other)?;
+        Ok(request)
     }
 }
 
-/// What a router knows, for a peer that does not.
+/// Views sent in response to a request.
 #[derive(Debug, Serialize, Deserialize)]
-struct View {
+struct Response {
     configuration: Option<Configuration>,
-    /// The reading by which the configuration was the store's newest.
+    /// The reading that found the configuration to be the store's newest.
     configuration_read: Option<Reading>,
     targets: Option<Targets>,
     quarantine: Option<Vec<Entry>>,
     evacuations: Option<Vec<Order>>,
 }
 
-/// A list of targets, as far as it differs from the one of whoever asks.
+/// Difference between the list of targets and the requester's list.
 #[derive(Debug, Serialize, Deserialize)]
 struct Targets {
     difference: Difference,
     read: Reading,
-    /// Where the store's log goes on behind it.
+    /// Position in the store's log after the list.
     position: Option<Position>,
-    /// Whether the sender saw no outage that leaves it open which targets have ended.
+    /// Whether every target that the list lacks has ended: the sender has seen no outage that would
+    /// leave this unknown.
     settled: bool,
 }
 
-/// Shortest time between two fetches of a view that has no age: two routers whose sums stay
-/// different must not ask each other with each greeting.
-const ASKED_PAUSE: Duration = Duration::from_millis(100);
+/// Shortest interval between two fetches of a view that has no age: two routers whose digests stay
+/// different must not fetch at each heartbeat.
+const MIN_FETCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Whether a view is being fetched; one at a time.
+/// State of fetches; one runs at a time.
 #[derive(Debug, Default)]
-pub struct Fetching {
+pub struct Fetches {
     busy: Cell<bool>,
-    /// What is known of contents.
-    pub(crate) quarantine: Asked,
-    /// The orders to evacuate failure domains.
-    pub(crate) evacuations: Asked,
+    /// Last fetch of the records of contents.
+    pub(crate) quarantine: LastFetch,
+    /// Last fetch of the evacuation orders.
+    pub(crate) evacuations: LastFetch,
 }
 
-/// When a view that has no age was asked for last.
+/// Time of the last fetch of a view that has no age.
 #[derive(Debug, Default)]
-pub(crate) struct Asked(Cell<Option<Duration>>);
+pub(crate) struct LastFetch(Cell<Option<Duration>>);
 
-impl Asked {
-    /// Whether it may be asked for again.
-    pub(crate) fn due(&self, now: Duration) -> bool {
-        let asked = self.0.get();
-        asked.is_none_or(|it| now.saturating_sub(it) >= ASKED_PAUSE)
+impl LastFetch {
+    /// Whether the view may be fetched again.
+    pub(crate) fn is_due(&self, now: Duration) -> bool {
+        let last = self.0.get();
+        last.is_none_or(|it| now.saturating_sub(it) >= MIN_FETCH_INTERVAL)
     }
 }
 
-/// Fetches from a peer what is wanted, unless something is being fetched already.
-pub fn fetch(node: &Rc<Node>, address: SocketAddr, wanted: Wanted) {
+/// Fetches the `wanted` views from a peer, unless another fetch is running.
+pub fn fetch(node: &Rc<Node>, address: SocketAddr, wanted: Selection) {
     if node.fetching.busy.replace(true) {
         return;
     }
-    if wanted.has(Part::Quarantine) {
+    if wanted.contains(Kind::Quarantine) {
         node.fetching.quarantine.0.set(Some(node.now()));
     }
-    if wanted.has(Part::Evacuations) {
+    if wanted.contains(Kind::Evacuations) {
         node.fetching.evacuations.0.set(Some(node.now()));
     }
     let node = node.clone();
     tokio::task::spawn_local(async move {
-        let question = Question::new(&node, wanted);
-        let got = tokio::time::timeout(FETCH_TIMEOUT, read(address, &question)).await;
-        let error = match got {
+        let request = Request::new(&node, wanted);
+        let result = tokio::time::timeout(FETCH_TIMEOUT, request_views(address, &request)).await;
+        let error = match result {
             Ok(Ok(view)) => {
-                take(&node, view);
+                apply(&node, view);
                 None
             }
             Ok(Err(error)) => Some(error.to_string()),
@@ -176,8 +177,8 @@
     });
 }
 
-fn take(node: &Rc<Node>, view: View) {
-    // Before the configuration, with which a router begins to serve.
+fn apply(node: &Rc<Node>, view: Response) {
+    // Before the configuration, as a router starts to serve once it has one.
     if let Some(orders) = view.evacuations {
         node.take_evacuations(orders, "peer");
     }
@@ -193,42 +194,42 @@
     }
     if let Some(targets) = view.targets {
         let now = node.now();
-        let heard = node
+        let read_at = node
             .state
             .borrow_mut()
             .registry_reads
             .receive(targets.read, now);
-        let Some(as_of) = heard else {
+        let Some(as_of) = read_at else {
             return;
         };
         let delta = node.state.borrow().registry.delta_from(targets.difference);
         let Some(delta) = delta else {
-            // It is asked for again with the next greeting that tells of it.
+            // It is fetched again after the next heartbeat that reports it.
             node.metrics.add("views_not_merged", "targets", 1);
             return;
         };
-        let told = Told {
+        let update = Told {
             delta,
             settled: targets.settled,
             reading: targets.read,
             position: targets.position,
             as_of,
         };
-        node.take_targets_told(told);
+        node.take_targets_told(update);
     }
 }
 
-async fn read(address: SocketAddr, question: &Question) -> std::io::Result<View> {
+async fn request_views(address: SocketAddr, request: &Request) -> std::io::Result<Response> {
     let mut stream = TcpStream::connect(address).await?;
-    stream.write_all(&question.encode()?).await?;
+    stream.write_all(&request.encode()?).await?;
     let mut bytes = Vec::new();
-    stream.take(LARGEST).read_to_end(&mut bytes).await?;
-    let decoded = bincode::serde::decode_from_slice::<View, _>(&bytes, standard());
+    stream.take(MAX_VIEW_BYTES).read_to_end(&mut bytes).await?;
+    let decoded = bincode::serde::decode_from_slice::<Response, _>(&bytes, standard());
     let (view, _) = decoded.map_err(std::io::Error::other)?;
     Ok(view)
 }
 
-/// Gives this router's view to peers that connect.
+/// Serves this router's views to peers.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
     loop {
         let Ok((mut stream, _)) = listener.accept().await else {
@@ -236,13 +237,13 @@
         };
         let node = node.clone();
         tokio::task::spawn_local(async move {
-            let asked = tokio::time::timeout(FETCH_TIMEOUT, Question::read(&mut stream)).await;
-            let Ok(Ok(question)) = asked else {
+            let received = tokio::time::timeout(FETCH_TIMEOUT, Request::read(&mut stream)).await;
+            let Ok(Ok(request)) = received else {
                 return;
             };
-            let view = view(&node, &question);
+            let view = respond(&node, &request);
             if let Ok(bytes) = bincode::serde::encode_to_vec(&view, standard()) {
-                // The peer asks again if this fails.
+                // The peer fetches again if this fails.
                 drop(stream.write_all(&bytes).await);
                 drop(stream.shutdown().await);
             }
@@ -250,27 +251,29 @@
     }
 }
 
-fn view(node: &Rc<Node>, question: &Question) -> View {
-    let wanted = question.wanted;
+fn respond(node: &Rc<Node>, request: &Request) -> Response {
+    let wanted = request.wanted;
     let state = node.state.borrow();
     let now = node.now();
     let configuration = state.table.as_ref().map(|it| it.configuration().clone());
     let reading = state.registry_reads.report(now);
-    let reading = reading.filter(|_| wanted.has(Part::Targets));
+    let reading = reading.filter(|_| wanted.contains(Kind::Targets));
     let targets = reading.map(|read| Targets {
-        difference: state.registry.difference_from(&question.targets),
+        difference: state.registry.difference_from(&request.targets),
         read,
         position: state.registry_position,
         settled: state.registry.settled(),
     });
     let quarantine = state.quarantine.entries(now);
-    View {
+    Response {
         evacuations: wanted
-            .has(Part::Evacuations)
+            .contains(Kind::Evacuations)
             .then(|| state.evacuations.orders().collect()),
-        quarantine: wanted.has(Part::Quarantine).then(|| quarantine.collect()),
+        quarantine: wanted
+            .contains(Kind::Quarantine)
+            .then(|| quarantine.collect()),
         configuration_read: state.configuration_reads.report(now),
-        configuration: configuration.filter(|_| wanted.has(Part::Configuration)),
+        configuration: configuration.filter(|_| wanted.contains(Kind::Configuration)),
         targets,
     }
 }
