--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -289,7 +289,7 @@
         return;
     }
     if answer.leaving {
-        leaving::said(node, &lease.target);
+        leaving::record_announcement(node, &lease.target);
     }
     // A time that can't be read is none: the refusal counts as a plain one.
     let named = *answer.backoff.as_ref().unwrap_or(&None);
--- a/crates/path/src/courier.rs
+++ b/crates/path/src/courier.rs
@@ -1,7 +1,7 @@
 //! Sends messages to other routers.
 //!
-//! A message is one datagram and is sent without waiting. One that can't be sent is
-//! counted and forgotten: every message is made good by a later one.
+//! A message is one datagram and is sent without blocking. A message that cannot be sent is counted
+//! and dropped: a later message always makes up for it.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,19 +13,19 @@
 
 use crate::node::Node;
 
-/// The way to other routers; none before the router is started.
+/// The socket for messages to other routers; none before the router is started.
 #[derive(Debug, Default)]
 pub struct Courier {
     socket: RefCell<Option<Rc<UdpSocket>>>,
 }
 
 impl Courier {
-    /// Takes the socket by which messages leave.
+    /// Sets the socket on which messages are sent.
     pub fn open(&self, socket: Rc<UdpSocket>) {
         *self.socket.borrow_mut() = Some(socket);
     }
 
-    /// The socket, by which messages come too.
+    /// The socket, on which messages are also received.
     pub(crate) fn socket(&self) -> Option<Rc<UdpSocket>> {
         self.socket.borrow().clone()
     }
--- a/crates/path/src/cut.rs
+++ b/crates/path/src/cut.rs
@@ -118,7 +118,7 @@
         return;
     };
     let findings: Vec<_> = tellings.iter().map(|it| it.finding).collect();
-    quarantine::hear(node, &findings);
+    quarantine::receive_findings(node, &findings);
     send(node, first.cell, findings);
 }
 
--- a/crates/path/src/evacuation.rs
+++ b/crates/path/src/evacuation.rs
@@ -1,5 +1,5 @@
-//! What this router knows of the platform's store and of evacuated failure domains: how it learns,
-//! and what follows.
+//! Eras of the platform's store and evacuated failure domains: how this router learns about them,
+//! and what changes cause.
 
 use dunlinward_dispatch::evacuation::{Change, Evacuations, Order};
 use dunlinward_dispatch::store::{Observation, Position};
@@ -8,13 +8,13 @@
 use crate::node::Node;
 
 impl Node {
-    /// Notes the era that an answer of the store names; false if the answer is a late one of an
-    /// earlier era and must not be used.
+    /// Records the era named by an answer of the store or by a peer; returns `false` if it is an
+    /// earlier one, so that a late answer of the store must not be used.
     #[must_use]
     pub fn see_era(&self, era: u64, source: &str) -> bool {
         let now = self.now();
-        let sight = self.state.borrow_mut().see_era(era, now);
-        match sight {
+        let observation = self.state.borrow_mut().see_era(era, now);
+        match observation {
             Observation::Current => {}
             Observation::Stale => self.metrics.add("store_stale", source, 1),
             Observation::Restored => {
@@ -24,27 +24,29 @@
                 gossip::spread(self);
             }
         }
-        sight != Observation::Stale
+        observation != Observation::Stale
     }
 
-    /// Whether the store came back from a copy so lately that it may lack what was written.
+    /// Whether the store was restored from a backup so recently that records may still be missing.
     #[must_use]
     pub fn store_restoring(&self) -> bool {
         self.state.borrow().store.restoring(self.now())
     }
 
-    /// Whether an order is in force that the store should by now have again, if it still holds.
+    /// Whether an order of an earlier era is in force that should have been written to the store
+    /// again by now, if it still holds.
     #[must_use]
     pub fn evacuations_overdue(&self) -> bool {
         let state = self.state.borrow();
         state.evacuations.has_expired(&state.store, self.now())
     }
 
-    /// Takes orders, from the operators' topic or from a peer.
+    /// Applies orders from the operators' topic or from a peer.
     pub fn take_evacuations(&self, orders: Vec<Order>, source: &str) {
         let now = self.now();
         for order in orders.iter().filter(|it| it.evacuated) {
-            // An order of an earlier era says that the store came back, perhaps just now.
+            // An order of an earlier era shows that the store has been restored since, perhaps just
+            // now.
             self.state.borrow_mut().see_era(order.at.era, now);
         }
         self.change_evacuations(source, |it| {
@@ -55,16 +57,20 @@
         });
     }
 
-    /// Takes the whole list of the orders that the store has, which ended at `end`.
+    /// Applies the complete list of the store's orders, which ended at `end`.
     pub fn take_evacuation_list(&self, listed: Vec<Order>, end: Position, source: &str) {
         let now = self.now();
         let era = self.state.borrow().store;
         self.change_evacuations(source, |it| it.apply_list(listed, end, &era, now));
     }
 
-    fn change_evacuations(&self, source: &str, take: impl FnOnce(&mut Evacuations) -> Vec<Change>) {
+    fn change_evacuations(
+        &self,
+        source: &str,
+        apply: impl FnOnce(&mut Evacuations) -> Vec<Change>,
+    ) {
         let now = self.now();
-        let changes = self.state.borrow_mut().change_evacuations(now, take);
+        let changes = self.state.borrow_mut().change_evacuations(now, apply);
         for change in &changes {
             let (event, domain) = match change {
                 Change::Evacuated(domain) => ("domain_evacuated", domain),
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -1,10 +1,10 @@
-//! Greetings, by which routers know each other and the age of each other's views.
+//! Heartbeats, which carry membership and the ages of the views of routers.
 //!
-//! Who greets whom, and what follows for who is alive, is decided by
-//! [`dunlinward_dispatch::membership`]. Each greeting also tells the sender's views of the
-//! platform. Whoever learns that a view has changed, or is much younger than it knew, tells a
-//! few others at once, who do the same: so a change reaches three hundred routers in five
-//! steps, with three greetings from each.
+//! [`dunlinward_dispatch::membership`] decides who sends to whom, and which routers are alive. Each
+//! heartbeat also carries the versions of the sender's views of the platform. A router that learns
+//! that a view has changed, or is much more recent than it knew, sends heartbeats to a few others
+//! at once, which do the same: a change reaches 300 routers in five steps, with three heartbeats
+//! from each router.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -18,24 +18,24 @@
 use crate::node::Node;
 use crate::view::{self, Kind, Selection};
 
-/// Routers that are told of a change at once.
-pub(crate) const TOLD: usize = 3;
+/// Number of routers to which a change is sent at once.
+pub(crate) const FANOUT: usize = 3;
 
-/// How much younger a view must be than it was known to be for others to be told: half of the
-/// time between two reads of the list of targets.
-const YOUNGER_TOLD: Duration = Duration::from_millis(500);
+/// Difference in age from which a more recent confirmation of a view is passed on at once: half of
+/// the interval between two reads of the list of targets.
+const MIN_ANNOUNCED_GAIN: Duration = Duration::from_millis(500);
 
-/// A peer's list of targets that differs is fetched if it is younger by this much: more
-/// than the error of ages, which leave out the way of a greeting.
-const YOUNGER: Duration = Duration::from_millis(50);
+/// Difference in age from which a peer's list of targets is fetched, if its content differs: more
+/// than the error of ages, which don't include the delay of a heartbeat.
+const MIN_FETCHED_GAIN: Duration = Duration::from_millis(50);
 
-/// Routers that are named in a line on those that ended.
-const NAMED: usize = 4;
+/// Limit of names in a log line about lost routers.
+const MAX_NAMED: usize = 4;
 
-/// What the log is still to be told of who is alive.
+/// Membership changes that are not logged yet.
 #[derive(Debug, Default)]
 pub struct Gossip {
-    came: Cell<usize>,
+    updated: Cell<usize>,
     lost: RefCell<Vec<SocketAddr>>,
     /// When a router was lost last.
     lost_at: Cell<Option<Duration>>,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Greets others for as long as the router runs.
+/// Sends heartbeats for as long as the router runs.
 pub async fn run(node: Rc<Node>) {
     let mut timer = tokio::time::interval(node.settings.report_interval);
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -59,59 +59,59 @@
         let late = late + node.wake.take_late();
         let now = node.now();
         let effects = node.state.borrow_mut().membership.tick(now, late);
-        carry_out(&node, effects);
-        tell(&node);
+        apply(&node, effects);
+        log_changes(&node);
     }
 }
 
-/// Takes over what changed and sends what is to be sent.
-fn carry_out(node: &Node, effects: Effects) {
+/// Applies membership changes and sends the outgoing packets.
+fn apply(node: &Node, effects: Effects) {
     let now = node.now();
     node.state.borrow_mut().apply(&effects, now);
     for change in &effects.changes {
         match change {
-            Change::Updated(..) => node.gossip.came.set(node.gossip.came.get() + 1),
-            Change::Ended(card) => {
-                node.gossip.lost.borrow_mut().push(card.address);
+            Change::Updated(..) => node.gossip.updated.set(node.gossip.updated.get() + 1),
+            Change::Ended(router) => {
+                node.gossip.lost.borrow_mut().push(router.address);
                 node.gossip.lost_at.set(Some(now));
             }
         }
     }
-    for letter in effects.outgoing {
-        let greeting = Heartbeat {
-            packet: letter.packet,
+    for outgoing in effects.outgoing {
+        let heartbeat = Heartbeat {
+            packet: outgoing.packet,
             views: views(node),
         };
-        node.send(letter.to, Content::Heartbeat(greeting));
+        node.send(outgoing.to, Content::Heartbeat(heartbeat));
     }
 }
 
-/// One line for all that changed since the last one: a fleet that starts has thousands of changes.
-fn tell(node: &Node) {
-    let came = node.gossip.came.take();
+/// Logs all changes since the last call in one line: a fleet that starts has thousands of changes.
+fn log_changes(node: &Node) {
+    let updated = node.gossip.updated.take();
     let lost = node.gossip.lost.take();
-    if came == 0 && lost.is_empty() {
+    if updated == 0 && lost.is_empty() {
         return;
     }
-    let named = lost.iter().take(NAMED).map(ToString::to_string);
-    let line = node.journal.line("members").with("heard", came);
+    let named = lost.iter().take(MAX_NAMED).map(ToString::to_string);
+    let line = node.journal.line("members").with("heard", updated);
     let line = line.with("lost", lost.len());
     let line = line.with("first_lost", named.collect::<Vec<_>>());
     drop(line.with("known", node.routers()));
 }
 
-/// Tells a few others of this router's views at once.
+/// Sends this router's views to a few others at once.
 pub fn spread(node: &Node) {
-    let (some, packet) = {
+    let (peers, packet) = {
         let mut state = node.state.borrow_mut();
-        let some = state.membership.sample(TOLD);
-        if some.is_empty() {
+        let peers = state.membership.sample(FANOUT);
+        if peers.is_empty() {
             return;
         }
-        (some, state.membership.gossip())
+        (peers, state.membership.gossip())
     };
     let views = views(node);
-    node.send_all(&some, Content::Heartbeat(Heartbeat { packet, views }));
+    node.send_all(&peers, Content::Heartbeat(Heartbeat { packet, views }));
 }
 
 fn views(node: &Node) -> Views {
@@ -130,84 +130,86 @@
     }
 }
 
-/// Takes a greeting.
-pub fn hear(node: &Rc<Node>, greeting: Heartbeat) {
-    let Heartbeat { packet, views } = greeting;
-    let card = packet.sender.router.clone();
-    if card.address == node.settings.link {
+/// Handles a heartbeat.
+pub fn receive(node: &Rc<Node>, heartbeat: Heartbeat) {
+    let Heartbeat { packet, views } = heartbeat;
+    let sender = packet.sender.router.clone();
+    if sender.address == node.settings.link {
         return;
     }
     let now = node.now();
     let effects = {
         let mut state = node.state.borrow_mut();
-        state.reach.record_packet(&card.domain, now);
+        state.reach.record_packet(&sender.domain, now);
         state.membership.receive(packet, now)
     };
-    carry_out(node, effects);
+    apply(node, effects);
     if let Some(era) = views.era {
-        // What a peer of an earlier era tells is older than what is known here, and ordered so.
+        // Views of a peer that knows only an earlier era are used all the same: they are older than
+        // those known here, and are ordered accordingly.
         let _ = node.see_era(era, "peer");
     }
-    leaving::compare(node, card.address, views.leaving);
-    let news = compare(node, views, now);
-    if news.wanted != Selection::default() {
-        view::fetch(node, card.address, news.wanted);
+    leaving::compare(node, sender.address, views.leaving);
+    let comparison = compare(node, views, now);
+    if comparison.wanted != Selection::default() {
+        view::fetch(node, sender.address, comparison.wanted);
     }
-    if news.younger {
+    if comparison.fresher {
         spread(node);
     }
 }
 
-/// What a greeting says of views that this router did not know.
+/// Result of comparing a heartbeat's views with this router's.
 #[derive(Clone, Copy, Debug, Default)]
-struct News {
-    /// Views that the sender knows better.
+struct Comparison {
+    /// Views to be fetched from the sender.
     wanted: Selection,
-    /// Whether a view that both know is much younger than this router knew.
-    younger: bool,
+    /// Whether a view that both routers have is much more recent than was known here.
+    fresher: bool,
 }
 
-/// What a peer knows better; the age of an equal view is taken over at once.
-fn compare(node: &Node, views: Views, now: Duration) -> News {
+/// Compares a peer's views with this router's. The age of an equal view is adopted at once.
+fn compare(node: &Node, views: Views, now: Duration) -> Comparison {
     let mut state = node.state.borrow_mut();
-    let mut news = News::default();
+    let mut comparison = Comparison::default();
     let own = state.quarantine.digest();
-    // A peer that knows of none will ask itself, but it is known then that the store keeps none.
+    // A peer without any record will fetch them itself, but its heartbeat shows that the store has
+    // none.
     let differs = views.quarantine.is_some_and(|it| it != own && it != 0);
     state.quarantine_known |= views.quarantine.is_some() && !differs;
     let quarantine = differs && node.fetching.quarantine.is_due(now);
-    news.wanted = news.wanted.with(Kind::Quarantine, quarantine);
-    let younger = |at: Duration, known: Option<Duration>| {
-        known.is_some_and(|known| at >= known + YOUNGER_TOLD)
+    comparison.wanted = comparison.wanted.with(Kind::Quarantine, quarantine);
+    let fresher = |at: Duration, known: Option<Duration>| {
+        known.is_some_and(|known| at >= known + MIN_ANNOUNCED_GAIN)
     };
     let differs = views.evacuations != state.evacuations.digest();
     let unknown = differs && views.evacuations != 0;
     let evacuations = unknown && node.fetching.evacuations.is_due(now);
-    news.wanted = news.wanted.with(Kind::Evacuations, evacuations);
+    comparison.wanted = comparison.wanted.with(Kind::Evacuations, evacuations);
     let version = state.table.as_ref().map_or(0, |it| it.version());
     let known = (1..=version).contains(&views.configuration);
     state.compared |= known && !unknown;
     let newer = views.configuration > version;
-    news.wanted = news.wanted.with(Kind::Configuration, newer);
+    comparison.wanted = comparison.wanted.with(Kind::Configuration, newer);
     if version > 0 && views.configuration == version && !differs {
         let known = state.configuration_reads.at();
         let reading = views.configuration_read;
         let at = reading.and_then(|it| state.hear_configuration(it, now));
-        news.younger |= at.is_some_and(|at| younger(at, known));
+        comparison.fresher |= at.is_some_and(|at| fresher(at, known));
     }
     let Some(reading) = views.registry_read else {
-        return news;
+        return comparison;
     };
     let Some(at) = state.registry_reads.receive(reading, now) else {
-        return news;
+        return comparison;
     };
     let known = state.registry.read_at();
     if views.registry_digest == state.registry.digest() {
-        news.younger |= younger(at, known);
+        comparison.fresher |= fresher(at, known);
         state.confirm_registry(&views, reading, at);
-        return news;
+        return comparison;
     }
-    let later = known.is_none_or(|known| at > known + YOUNGER);
-    news.wanted = news.wanted.with(Kind::Targets, later);
-    news
+    let is_later = known.is_none_or(|known| at > known + MIN_FETCHED_GAIN);
+    comparison.wanted = comparison.wanted.with(Kind::Targets, is_later);
+    comparison
 }
--- a/crates/path/src/inbox.rs
+++ b/crates/path/src/inbox.rs
@@ -1,4 +1,4 @@
-//! Takes messages from other routers and hands each to whom it concerns.
+//! Receives messages from other routers and dispatches them to their handlers.
 
 use std::cell::RefCell;
 use std::io::ErrorKind;
@@ -13,15 +13,15 @@
 use crate::pending::Answer;
 use crate::{gossip, leaving, owner, quarantine};
 
-/// Largest message in bytes; a datagram's limit.
-const LARGEST: usize = 60_000;
+/// Limit of a message: it is one datagram.
+const MAX_MESSAGE_BYTES: usize = 60_000;
 
-/// Messages that are read in one turn: all that a socket's standard buffer of 208 KB holds. The
-/// runtime's own limit is 128 a turn; behind it an answer waits while the time of its request runs
-/// out.
-const TURN: usize = 1_024;
+/// Messages read per batch: all that fit into a socket's default receive buffer of 208 KB. The
+/// runtime's own limit is 128 per turn; an answer queued after these would be read only after the
+/// time of its request has run out.
+const BATCH_SIZE: usize = 1_024;
 
-/// Talks to other routers for as long as this one runs.
+/// Exchanges messages with other routers for as long as this one runs.
 pub async fn run(node: Rc<Node>, socket: UdpSocket) {
     let socket = Rc::new(socket);
     node.courier.open(socket.clone());
@@ -32,28 +32,29 @@
     );
 }
 
-/// Room for one message.
+/// Receive buffer for one message.
 #[derive(Debug)]
 pub struct Buffer(RefCell<Vec<u8>>);
 
 impl Default for Buffer {
     fn default() -> Self {
-        Self(RefCell::new(vec![0; LARGEST]))
+        Self(RefCell::new(vec![0; MAX_MESSAGE_BYTES]))
     }
 }
 
-/// Takes all messages that have come, up to a turn's.
-pub(crate) fn read(node: &Rc<Node>) {
+/// Handles all messages that have arrived, up to one batch.
+pub(crate) fn receive_batch(node: &Rc<Node>) {
     let Some(socket) = node.courier.socket() else {
         return;
     };
     node.look_for_wake();
     let mut buffer = node.inbox.0.borrow_mut();
-    for _ in 0..TURN {
+    for _ in 0..BATCH_SIZE {
         match socket.try_recv_from(&mut buffer) {
             Ok((length, from)) => decode(node, &buffer[..length], from),
             Err(error) if error.kind() == ErrorKind::WouldBlock => break,
-            // A router that has ended; the next message may come from another one.
+            // An error may come from a router that has ended; the next message may be another
+            // router's.
             Err(error) => count_error(node, &error),
         }
     }
@@ -65,8 +66,8 @@
             count_error(&node, &error);
             continue;
         }
-        read(&node);
-        // Callers have their turn too, also while messages flood in.
+        receive_batch(&node);
+        // Lets other tasks run too, even while messages keep arriving.
         tokio::task::yield_now().await;
     }
 }
@@ -83,15 +84,15 @@
         Ok((message, _)) if !message.content.plausible() => {
             node.metrics.add("messages", "implausible", 1);
         }
-        Ok((message, _)) => take(node, message, from),
+        Ok((message, _)) => handle(node, message, from),
         Err(_) => node.metrics.add("messages", "malformed", 1),
     }
 }
 
-fn take(node: &Rc<Node>, message: Message, from: SocketAddr) {
+fn handle(node: &Rc<Node>, message: Message, from: SocketAddr) {
     let sender = message.sender;
     match message.content {
-        Content::Heartbeat(greeting) => gossip::hear(node, greeting),
+        Content::Heartbeat(heartbeat) => gossip::receive(node, heartbeat),
         Content::Request(ask) => owner::ask(node, sender, from, ask),
         Content::Grant(grant) => node.answer(from, grant.number, Answer::Grant(grant)),
         Content::Wait(wait) => node.answer(from, wait.number, Answer::Wait(wait)),
@@ -99,7 +100,7 @@
         Content::Read { tag, unread } => owner::read(node, sender, tag, unread),
         Content::Return(returned) => owner::returned(node, sender, returned),
         Content::LoadReport(work) => owner::work(node, sender, &work),
-        Content::Findings(findings) => quarantine::hear(node, &findings),
-        Content::Leaving(report) => leaving::hear(node, report.notices()),
+        Content::Findings(findings) => quarantine::receive_findings(node, &findings),
+        Content::Leaving(report) => leaving::receive(node, report.notices()),
     }
 }
--- a/crates/path/src/leaving.rs
+++ b/crates/path/src/leaving.rs
@@ -1,9 +1,12 @@
-//! What targets say of their own leaving: how this router learns, and whom it tells.
+//! Targets' announcements that they are leaving: how this router learns about them, and whom it
+//! notifies.
 //!
-//! The first router that hears it stops at once, and tells the owner of the target's cell in the same
-//! moment, and a few others, who pass it on. What got lost on its way is made good by greetings, whose sum
-//! of such words differs then: whoever sees another sum tells its own words. So two routers agree after
-//! one message each way, and one that has started or woken knows within its first greetings.
+//! The first router to which a target announces that it is leaving stops sending it requests at
+//! once. At the same time it notifies the owner of the target's cell and a few other routers, which
+//! pass the notice on. Lost messages are made up for by heartbeats, which carry a digest of the
+//! known announcements: a router that receives another digest than its own sends its announcements
+//! to the sender. So two routers agree after one message in each direction, and a router that has
+//! started, or resumed from a suspension, learns the announcements from its first heartbeats.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,14 +19,14 @@
 use crate::gossip;
 use crate::node::Node;
 
-/// Source of a word that a target said to this router.
+/// Source of an announcement received from the target.
 const TARGET: &str = "target";
 
-/// Source of a word that another router told.
+/// Source of an announcement received from another router.
 const PEER: &str = "peer";
 
-/// A target says in an answer that it leaves.
-pub(crate) fn said(node: &Node, target: &Target) {
+/// Handles a target's announcement, in an answer, that it is leaving.
+pub(crate) fn record_announcement(node: &Node, target: &Target) {
     let now = node.now();
     let (new, change) = {
         let mut state = node.state.borrow_mut();
@@ -32,7 +35,7 @@
     if !new {
         return;
     }
-    carry_out(node, change.as_slice(), TARGET);
+    apply(node, change.as_slice(), TARGET);
     let owner = {
         let state = node.state.borrow();
         let cell = state.registry.cell_of(target);
@@ -41,43 +44,44 @@
     let line = node.journal.line("leaving_told");
     let line = line.with("target", target.id.as_ref());
     drop(line.with("owner", owner.to_string()));
-    let word = [Notice {
+    let notice = [Notice {
         tag: target.tag(),
         age: Duration::ZERO,
     }];
     if owner != node.settings.link {
-        node.send(owner, Content::Leaving(Report::new(word.to_vec())));
+        node.send(owner, Content::Leaving(Report::new(notice.to_vec())));
     }
-    spread(node, &word);
+    push(node, &notice);
 }
 
-/// Another router tells of targets that have said so.
-pub(crate) fn hear(node: &Node, words: &[Notice]) {
+/// Handles announcements received from another router.
+pub(crate) fn receive(node: &Node, notices: &[Notice]) {
     let now = node.now();
-    let (new, changes) = node.state.borrow_mut().registry.merge_leaving(words, now);
-    carry_out(node, &changes, PEER);
-    spread(node, &new);
+    let (new, changes) = node.state.borrow_mut().registry.merge_leaving(notices, now);
+    apply(node, &changes, PEER);
+    push(node, &new);
 }
 
-/// Tells a few others at once what is new here; each that did not know does the same.
-fn spread(node: &Node, new: &[Notice]) {
+/// Sends new announcements to a few others at once; each that didn't know them does the same.
+fn push(node: &Node, new: &[Notice]) {
     if new.is_empty() {
         return;
     }
-    let some = node.state.borrow_mut().membership.sample(gossip::TOLD);
-    node.send_all(&some, Content::Leaving(Report::new(new.to_vec())));
+    let peers = node.state.borrow_mut().membership.sample(gossip::FANOUT);
+    node.send_all(&peers, Content::Leaving(Report::new(new.to_vec())));
 }
 
-/// A greeting names a sum of such words: if it is another one, its sender learns what is known here.
+/// Compares the digest in a heartbeat with this router's; if they differ, sends the announcements
+/// known here, if any, to the sender.
 pub(crate) fn compare(node: &Node, sender: SocketAddr, digest: u64) {
     let own = node.state.borrow().registry.leaving().digest();
     if own != digest && own != 0 {
-        let words = node.state.borrow().registry.leaving().notices(node.now());
-        node.send(sender, Content::Leaving(Report::new(words)));
+        let notices = node.state.borrow().registry.leaving().notices(node.now());
+        node.send(sender, Content::Leaving(Report::new(notices)));
     }
 }
 
-fn carry_out(node: &Node, changes: &[Change], source: &str) {
+fn apply(node: &Node, changes: &[Change], source: &str) {
     let now = node.now();
     for change in changes {
         node.apply_change(change, source, now);
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -31,7 +31,7 @@
 use crate::metrics::Metrics;
 use crate::pending::Pending;
 use crate::pool::Pool;
-use crate::quarantine::Unwritten;
+use crate::quarantine::WriteQueue;
 use crate::settings::Settings;
 use crate::state::State;
 use crate::strain::Strain;
@@ -107,7 +107,7 @@
     pub(crate) strain: Strain,
     pub(crate) state: RefCell<State>,
     /// Entries that the store is to keep.
-    pub(crate) unwritten: Unwritten,
+    pub(crate) unwritten: WriteQueue,
     pub(crate) clock: Clock,
     pub(crate) wake: Wake,
     pub(crate) room: Notify,
@@ -143,7 +143,7 @@
             pending: Pending::default(),
             strain: Strain::default(),
             state: RefCell::new(state),
-            unwritten: Unwritten::default(),
+            unwritten: WriteQueue::default(),
             clock,
             wake: Wake::default(),
             room: Notify::new(),
--- a/crates/path/src/quarantine.rs
+++ b/crates/path/src/quarantine.rs
@@ -1,5 +1,5 @@
-//! What this router knows of contents under which targets ended: how it learns, whom it tells, and what
-//! operators see and lift.
+//! Records of contents under which targets terminated: how this router learns about and shares
+//! them, and the operators' interface to list and lift quarantines.
 
 use dunlinward_dispatch::content::{ContentTag, Digest};
 use dunlinward_dispatch::quarantine::{Change, Entry, Finding, SUSPECT_ENDS, Status};
@@ -9,14 +9,14 @@
 use crate::gossip;
 use crate::node::Node;
 
-/// Entries that the store is to keep, on their way to whoever writes them.
+/// Queue of entries to be written to the store.
 #[derive(Debug)]
-pub(crate) struct Unwritten {
+pub(crate) struct WriteQueue {
     sender: mpsc::UnboundedSender<Entry>,
     receiver: Mutex<mpsc::UnboundedReceiver<Entry>>,
 }
 
-impl Default for Unwritten {
+impl Default for WriteQueue {
     fn default() -> Self {
         let (sender, receiver) = mpsc::unbounded_channel();
         Self {
@@ -26,8 +26,8 @@
     }
 }
 
-/// Takes findings, this router's or a peer's.
-pub(crate) fn hear(node: &Node, findings: &[Finding]) {
+/// Applies findings of this router or a peer.
+pub(crate) fn receive_findings(node: &Node, findings: &[Finding]) {
     for finding in findings {
         let change = node
             .state
@@ -35,13 +35,13 @@
             .quarantine
             .apply(*finding, node.now());
         if let Some(change) = change {
-            to_be_written(node, finding.content, change);
-            tell_change(node, finding.content, Some(finding.target), change);
+            queue_write(node, finding.content, change);
+            report_change(node, finding.content, Some(finding.target), change);
         }
     }
 }
 
-/// A content was answered.
+/// Records that a content was answered.
 pub(crate) fn answered(node: &Node, content: ContentTag) {
     let now = node.now();
     let (digest, change) = {
@@ -50,13 +50,13 @@
         (digest, state.quarantine.record_answer(content, now))
     };
     if let (Some(digest), Some(change)) = (digest, change) {
-        to_be_written(node, digest, change);
-        tell_change(node, digest, None, change);
+        queue_write(node, digest, change);
+        report_change(node, digest, None, change);
     }
 }
 
-/// Keeps in mind that the store is to be told of a quarantine that this router began or ended.
-fn to_be_written(node: &Node, content: Digest, change: Change) {
+/// Queues the entry of a quarantine that this router started or ended for writing to the store.
+fn queue_write(node: &Node, content: Digest, change: Change) {
     let now = node.now();
     let state = node.state.borrow();
     let mut entries = state.quarantine.entries(now);
@@ -65,12 +65,12 @@
         return;
     };
     if node.unwritten.sender.send(entry).is_err() {
-        // Its receiver lives as long as the router.
+        // The receiver lives as long as the router.
         node.metrics.add("contents", "not_written", 1);
     }
 }
 
-fn tell_change(node: &Node, content: Digest, target: Option<Tag>, change: Change) {
+fn report_change(node: &Node, content: Digest, target: Option<Tag>, change: Change) {
     let (event, ends) = match change {
         Change::EndRecorded(ends) => ("content_charged", ends),
         Change::Quarantined(ends) => ("content_quarantined", ends),
@@ -86,14 +86,14 @@
     let line = line.with("ends", ends);
     let line = line.with("target", target.map(|it| it.id.to_string()));
     drop(line.with("quarantined", quarantined));
-    // A first end is the owner's alone to know.
+    // A first termination is not shared: only the owner of the target's cell needs it.
     if !matches!(change, Change::EndRecorded(ends) if ends < SUSPECT_ENDS) {
         gossip::spread(node);
     }
 }
 
 impl Node {
-    /// Takes what another router, or the store, tells of contents under which targets ended.
+    /// Merges the entries of another router or the store.
     pub fn take_quarantine(&self, entries: &[Entry]) {
         self.state.borrow_mut().quarantine_known = true;
         for entry in entries {
@@ -101,15 +101,17 @@
             let Some(change) = change else {
                 continue;
             };
-            // Who tells of a quarantine has it written. This one is the sum of what both knew.
+            // Whoever reports a quarantine has it written. This one results only from merging the
+            // terminations that both sides knew.
             if !entry.confirmed && matches!(change, Change::Quarantined(_)) {
-                to_be_written(self, entry.content, change);
+                queue_write(self, entry.content, change);
             }
-            tell_change(self, entry.content, None, change);
+            report_change(self, entry.content, None, change);
         }
     }
 
-    /// An operator says that a content is sound; false if nothing is held against it.
+    /// Lifts a quarantine on behalf of an operator; returns `false` if nothing is recorded against
+    /// the content.
     pub(crate) fn lift(&self, content: Digest) -> bool {
         if self.standing_of(content) == Status::Free {
             return false;
@@ -120,7 +122,7 @@
         true
     }
 
-    /// What is held against contents, for operators: one JSON object a line.
+    /// Contents with recorded terminations, for operators: one JSON object per line.
     pub(crate) fn quarantined(&self) -> String {
         let now = self.now();
         let state = self.state.borrow();
@@ -142,13 +144,13 @@
         lines.concat()
     }
 
-    /// Whether it is known which contents the store keeps.
+    /// Whether the records in the store are known.
     #[must_use]
     pub fn knows_quarantine(&self) -> bool {
         self.state.borrow().quarantine_known
     }
 
-    /// The next entry that the store is to keep, or to drop if no target is charged to it.
+    /// The next entry to be written to the store, or to be deleted if it has no terminations.
     pub async fn next_unwritten(&self) -> Entry {
         let mut unwritten = self.unwritten.receiver.lock().await;
         match unwritten.recv().await {
@@ -158,14 +160,14 @@
         }
     }
 
-    /// What the store is to be told again, if it keeps `stored`.
+    /// Entries that are missing from the store, which holds `stored`.
     #[must_use]
     pub fn unkept_quarantine(&self, stored: &[Entry]) -> Vec<Entry> {
         let state = self.state.borrow();
         state.quarantine.missing_from(stored, self.now())
     }
 
-    /// What may be done with a content.
+    /// Restrictions on sending a content.
     #[must_use]
     pub(crate) fn standing_of(&self, content: Digest) -> Status {
         let state = self.state.borrow();
