--- a/crates/path/src/clock.rs
+++ b/crates/path/src/clock.rs
@@ -1,9 +1,9 @@
-//! Time since the router's start, the time that its instance was suspended included.
+//! Time since the router's start, including the time that its instance was suspended.
 //!
-//! The runtime's clock stands still while an instance is suspended; callers, targets and other
-//! routers go on. All ages, leases, deadlines and windows are judged by this clock; only here is a
-//! moment of it made one of the runtime, for its timers. Times of day are another matter: they are
-//! written to logs and records, and nothing is judged by them.
+//! The runtime's clock stops while an instance is suspended, whereas clients, targets and other
+//! routers go on. All ages, leases, deadlines and windows are measured by this clock; a moment is
+//! converted to the runtime's clock only here, for timers. Wall-clock times are only written to
+//! logs and records; no decision depends on them.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,24 +12,24 @@
 use rustix::time::{ClockId, Timespec, clock_gettime};
 use tokio::time::Instant;
 
-/// Where the time of suspensions comes from.
+/// Source of the suspended time.
 #[derive(Clone, Debug)]
 enum Source {
-    /// The system's clock that counts suspended time, against the one that doesn't.
+    /// The system's clock that includes suspended time, compared to the one that doesn't.
     System {
-        /// By how much they were apart at the start.
-        apart: Duration,
+        /// Difference of the two clocks at the start.
+        initial_difference: Duration,
     },
-    /// A test's.
+    /// Set by a test.
     Virtual(Suspension),
 }
 
-/// Time for which a test has suspended its router, in all.
+/// Total time for which a test has suspended its router.
 #[derive(Clone, Debug, Default)]
 pub struct Suspension(Rc<Cell<Duration>>);
 
 impl Suspension {
-    /// Suspends the router for `time`: its runtime notices nothing.
+    /// Suspends the router for `time`, which its runtime doesn't notice.
     pub fn add(&self, time: Duration) {
         self.0.set(self.0.get() + time);
     }
@@ -38,22 +38,23 @@
 /// A router's clock.
 #[derive(Debug)]
 pub struct Clock {
-    begun: Instant,
+    started_at: Instant,
     source: Source,
     suspended: Cell<Duration>,
 }
 
 impl Clock {
-    /// A clock that begins now.
+    /// Creates a clock that starts now.
     #[must_use]
     pub fn new() -> Self {
-        let steady = read(ClockId::Monotonic);
-        // Read in this order the difference is rather too large, so nothing counts twice later.
-        let apart = read(ClockId::Boottime).saturating_sub(steady);
-        Self::with_source(Source::System { apart })
+        let monotonic = read(ClockId::Monotonic);
+        // In this order of reads the difference is at most too large, so that no time is later
+        // counted as suspended that wasn't.
+        let initial_difference = read(ClockId::Boottime).saturating_sub(monotonic);
+        Self::with_source(Source::System { initial_difference })
     }
 
-    /// A clock for tests, which say when the router is suspended.
+    /// Creates a clock for tests, which set the suspended time.
     #[must_use]
     pub fn with_suspension(suspension: Suspension) -> Self {
         Self::with_source(Source::Virtual(suspension))
@@ -61,40 +62,42 @@
 
     fn with_source(source: Source) -> Self {
         Self {
-            begun: Instant::now(),
+            started_at: Instant::now(),
             source,
             suspended: Cell::new(Duration::ZERO),
         }
     }
 
-    /// Time since the start, with all suspensions that were [looked for](Self::suspended).
+    /// Time since the start, including all suspensions found by [`suspended`](Self::suspended).
     #[must_use]
     pub fn now(&self) -> Duration {
-        self.begun.elapsed() + self.suspended.get()
+        self.started_at.elapsed() + self.suspended.get()
     }
 
-    /// A moment as the runtime counts it, if the instance is not suspended until then.
+    /// Converts a moment to the runtime's clock, provided that the instance is not suspended until
+    /// then.
     #[must_use]
     pub fn instant(&self, at: Duration) -> Instant {
         Instant::now() + at.saturating_sub(self.now())
     }
 
-    /// Looks how long the instance was suspended since the start, in all. It is not looked for with
-    /// each reading of the clock, of which a request takes some dozens.
+    /// Measures the total time for which the instance was suspended since the start.
+    /// [`now`](Self::now) does not measure it, because a request reads the clock some dozens of
+    /// times.
     #[must_use]
     pub fn suspended(&self) -> Duration {
         let suspended = match &self.source {
-            Source::System { apart } => {
-                let whole = read(ClockId::Boottime);
-                // Read in this order the difference is rather too small.
-                let now = whole.saturating_sub(read(ClockId::Monotonic));
-                now.saturating_sub(*apart)
+            Source::System { initial_difference } => {
+                let boot_time = read(ClockId::Boottime);
+                // In this order of reads the difference is at most too small.
+                let difference = boot_time.saturating_sub(read(ClockId::Monotonic));
+                difference.saturating_sub(*initial_difference)
             }
             Source::Virtual(suspension) => suspension.0.get(),
         };
-        let most = self.suspended.get().max(suspended);
-        self.suspended.set(most);
-        most
+        let total = self.suspended.get().max(suspended);
+        self.suspended.set(total);
+        total
     }
 }
 
--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -91,7 +91,7 @@
         refusal
     };
     let admitted = admission::admit(node, &head, &call).map_err(refused)?;
-    if life::ending(node, admitted.route.kind.streams()) {
+    if life::refuses_requests(node, admitted.route.kind.streams()) {
         return Err(refused(
             Refusal::new(Reason::Leaving).with_retry_after(LEAVING_RETURN),
         ));
--- a/crates/path/src/life.rs
+++ b/crates/path/src/life.rs
@@ -1,9 +1,9 @@
-//! Signals, drain and end.
+//! Signal handling and graceful shutdown.
 //!
-//! At SIGTERM a router says that it is not ready and goes on serving: callers
-//! keep their connections, each answer asks them to close. Once the platform has
-//! had time to look twice, idle connections are closed. The process ends when
-//! nothing is left to answer, or shortly before the platform would kill it.
+//! On SIGTERM a router reports that it is not ready and goes on serving: clients keep their
+//! connections, but each answer asks them to close. Once the platform has had time for two
+//! readiness checks, idle connections are closed. The process exits when no connections are left,
+//! or shortly before the platform would kill it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,46 +12,46 @@
 
 use crate::node::Node;
 
-/// Time that the platform needs to stop sending callers here: two looks, a second apart.
-const NOTICE: Duration = Duration::from_millis(2_600);
+/// Time after which the platform sends no more clients: two readiness checks, one second apart.
+const UNREADY_DELAY: Duration = Duration::from_millis(2_600);
 
-/// How much sooner than the platform's kill the process ends.
-const MARGIN: Duration = Duration::from_millis(300);
+/// How long before the platform's kill the process exits.
+const KILL_MARGIN: Duration = Duration::from_millis(300);
 
-/// How long before the platform's kill the last request is taken.
-const LAST_REQUEST: Duration = Duration::from_millis(1_800);
+/// How long before the platform's kill requests begin to be refused.
+const REFUSAL_MARGIN: Duration = Duration::from_millis(1_800);
 
-/// How often the end of a drain is looked for.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval between checks for the end of the drain.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Whether the router ends too soon for a new request.
+/// Whether the router will exit too soon to accept a new request.
 #[must_use]
-pub fn ending(node: &Node, streams: bool) -> bool {
-    let Some(since) = node.leaving() else {
+pub fn refuses_requests(node: &Node, streams: bool) -> bool {
+    let Some(leaving_since) = node.leaving() else {
         return false;
     };
-    let refuse = if streams {
-        NOTICE
+    let refuse_after = if streams {
+        UNREADY_DELAY
     } else {
-        node.settings.grace.saturating_sub(LAST_REQUEST)
+        node.settings.grace.saturating_sub(REFUSAL_MARGIN)
     };
-    node.now() >= since + refuse
+    node.now() >= leaving_since + refuse_after
 }
 
-/// Returns when kept connections should be closed.
-pub async fn closing(node: &Rc<Node>) {
+/// Returns once idle connections should be closed.
+pub async fn idle_close(node: &Rc<Node>) {
     let mut leaving = node.watch_leaving();
     // The sender lives as long as the node.
     drop(leaving.wait_for(Option::is_some).await);
-    let since = node.leaving().unwrap_or_default();
-    node.sleep_until(since + NOTICE).await;
+    let leaving_since = node.leaving().unwrap_or_default();
+    node.sleep_until(leaving_since + UNREADY_DELAY).await;
 }
 
-/// Waits for SIGTERM or SIGINT, then until the router may end.
+/// Waits for SIGTERM or SIGINT, then until the router may exit.
 ///
 /// # Errors
 ///
-/// If signals can't be received.
+/// If signal handlers cannot be installed.
 pub async fn run(node: &Rc<Node>) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -67,11 +67,11 @@
     }
     drop(node.journal.line("stopping").with("open", node.open.get()));
     node.leave();
-    let since = node.leaving().unwrap_or_default();
-    let last = since + node.settings.grace.saturating_sub(MARGIN);
-    node.sleep_until(since + NOTICE).await;
-    while node.now() < last && node.open.get() > 0 {
-        tokio::time::sleep(LOOK).await;
+    let leaving_since = node.leaving().unwrap_or_default();
+    let exit_at = leaving_since + node.settings.grace.saturating_sub(KILL_MARGIN);
+    node.sleep_until(leaving_since + UNREADY_DELAY).await;
+    while node.now() < exit_at && node.open.get() > 0 {
+        tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
     }
     drop(node.journal.line("stopped").with("cut", node.open.get()));
     Ok(())
--- a/crates/path/src/server.rs
+++ b/crates/path/src/server.rs
@@ -112,7 +112,7 @@
     tokio::select! {
         // An answer that broke off has been told by its request.
         _ = connection.as_mut() => return,
-        () = life::closing(&node) => connection.as_mut().graceful_shutdown(),
+        () = life::idle_close(&node) => connection.as_mut().graceful_shutdown(),
     }
     drop(connection.await);
     drop(open);
