--- a/crates/path/src/flags.rs
+++ b/crates/path/src/flags.rs
@@ -1,8 +1,8 @@
-//! The router's own settings on the data path, from flags and environment.
+//! Settings of the data path from command-line flags and environment variables.
 //!
-//! Each flag has an environment variable named `DUNLINWARD_` and the flag in
-//! capitals. A value that is not allowed ends the program with a message that
-//! names the flag, the value and what is allowed.
+//! The environment variable of a flag is `DUNLINWARD_` followed by the flag in capitals. A value
+//! that is not allowed ends the program with a message that names the flag, the value and the
+//! allowed range.
 
 use std::ffi::OsString;
 use std::time::Duration;
@@ -14,166 +14,166 @@
 
 use crate::settings::Patience;
 
-/// Figures of the data path.
+/// Parameters of the data path.
 #[derive(Clone, Copy, Debug)]
 pub struct Flags {
-    /// Figures by which targets are chosen.
+    /// Parameters of the choice of targets.
     pub policy: Policy,
-    /// Figures by which requests wait.
+    /// Parameters of the queue.
     pub patience: Patience,
-    /// Time between greetings to peers.
+    /// Interval between heartbeats to peers.
     pub report_interval: Duration,
-    /// Targets of a cell, about.
+    /// Approximate number of targets per cell.
     pub cell_targets: usize,
-    /// Time between two questions to an engine about its memory; none are asked if it is zero.
+    /// Interval between two queries to an engine's cache; zero disables them.
     pub memory_interval: Duration,
 }
 
 #[derive(Clone, Copy)]
-struct Figure {
+struct Parameter {
     flag: &'static str,
     help: &'static str,
-    least: f64,
-    most: f64,
-    standard: f64,
+    min: f64,
+    max: f64,
+    default: f64,
 }
 
-/// Standard time between reports in milliseconds; `docs/design/platform.md` has the trials.
-const REPORT_MS: f64 = 100.0;
+/// Default interval between heartbeats; see `docs/design/platform.md`.
+const DEFAULT_HEARTBEAT_MS: f64 = 100.0;
 
-/// Standard time between questions to an engine about its memory in milliseconds: a prefix is sent
-/// again some two seconds later, and each question costs about as much as a health check.
-const MEMORY_MS: f64 = 400.0;
+/// Default interval between queries to an engine's cache: a prefix is sent again after some two
+/// seconds, and a query costs about as much as a health check.
+const DEFAULT_CACHE_POLL_MS: f64 = 400.0;
 
-fn figure(flag: &'static str, help: &'static str, most: f64, standard: f64) -> Figure {
-    Figure {
+fn parameter(flag: &'static str, help: &'static str, max: f64, default: f64) -> Parameter {
+    Parameter {
         flag,
         help,
-        least: 0.0,
-        most,
-        standard,
+        min: 0.0,
+        max,
+        default,
     }
 }
 
-fn policy_figures() -> [Figure; 7] {
+fn placement_parameters() -> [Parameter; 7] {
     let policy = Policy::default();
     [
-        figure(
+        parameter(
             "fill",
-            "Part of an engine's slots that is used",
+            "Largest fraction of an engine's slots that is used",
             1.0,
             policy.max_slot_utilization,
         ),
-        figure(
+        parameter(
             "reading",
-            "Part of the objective for reading prompts",
+            "Time for prefill at an engine, as a multiple of the objective",
             5.0,
             policy.prefill_budget,
         ),
-        figure(
+        parameter(
             "miss",
-            "Weight of a prefix that is read anew",
+            "Extra cost of recomputing a token of a prefix",
             100.0,
             policy.miss_weight,
         ),
-        figure(
+        parameter(
             "miss-room",
-            "Part of a target's room for a prefix read anew",
+            "Fraction of a target's capacity for requests whose prefix is recomputed",
             1.0,
             policy.miss_capacity_share,
         ),
-        figure(
+        parameter(
             "fetch",
-            "Times its length that a fetch from another engine counts",
+            "Extra cost of a fetch from another engine, as a multiple of its duration",
             10_000.0,
             policy.fetch_weight,
         ),
-        figure(
+        parameter(
             "running",
-            "Tokens by which a running request counts",
+            "Cost of a running request in tokens",
             10_000.0,
             policy.running_tokens,
         ),
-        figure(
+        parameter(
             "plain-queue",
-            "Requests at a plain target for each slot",
+            "Largest number of requests per slot at a plain target",
             10.0,
             policy.plain_requests_per_slot,
         ),
     ]
 }
 
-fn patience_figures() -> [Figure; 6] {
+fn queue_parameters() -> [Parameter; 6] {
     let patience = Patience::default();
     [
-        figure(
+        parameter(
             "wait-first",
-            "Part of the objective that a request waits",
+            "Wait of a first attempt, as a fraction of the objective",
             5.0,
             patience.first,
         ),
-        figure(
+        parameter(
             "wait-returning",
-            "The same for a caller that was refused",
+            "Wait of a retry, as a fraction of the objective",
             5.0,
             patience.returning,
         ),
-        figure(
+        parameter(
             "wait-miss",
-            "Part of the objective before a prefix is read anew",
+            "Wait before a prefix is recomputed, as a fraction of the objective",
             5.0,
             patience.miss,
         ),
-        figure(
+        parameter(
             "come-back",
-            "Part of the objective before a refused caller returns",
+            "Delay before a refused client retries, as a fraction of the objective",
             5.0,
             patience.come_back,
         ),
-        figure(
+        parameter(
             "over-share",
-            "Part of all room for requests beyond a share",
+            "Fraction of the capacity for requests beyond a share",
             1.0,
             patience.over_share,
         ),
-        figure(
+        parameter(
             "again",
-            "Part of that room for callers that were refused",
+            "Fraction of that capacity for retries",
             1.0,
             patience.again,
         ),
     ]
 }
 
-fn figures() -> Vec<Figure> {
-    let interval = Figure {
-        least: 10.0,
-        ..figure(
+fn parameters() -> Vec<Parameter> {
+    let interval = Parameter {
+        min: 10.0,
+        ..parameter(
             "report-ms",
-            "Milliseconds between greetings to peers",
+            "Milliseconds between heartbeats to peers",
             10_000.0,
-            REPORT_MS,
+            DEFAULT_HEARTBEAT_MS,
         )
     };
     #[expect(clippy::cast_precision_loss, reason = "a few dozen")]
-    let cell = Figure {
-        least: 1.0,
-        ..figure(
+    let cell = Parameter {
+        min: 1.0,
+        ..parameter(
             "cell-targets",
-            "Targets whose requests one router places, about",
+            "Approximate number of targets per cell, whose requests one router places",
             1_000.0,
             cell::TARGETS_PER_CELL as f64,
         )
     };
-    let memory = figure(
+    let cache_poll = parameter(
         "memory-ms",
-        "Milliseconds between questions to an engine about its memory; 0 asks none",
+        "Milliseconds between queries to an engine's cache; 0 disables them",
         10_000.0,
-        MEMORY_MS,
+        DEFAULT_CACHE_POLL_MS,
     );
-    let patience = patience_figures().into_iter();
-    let patience = patience.chain([interval, cell, memory]);
-    policy_figures().into_iter().chain(patience).collect()
+    let patience = queue_parameters().into_iter();
+    let patience = patience.chain([interval, cell, cache_poll]);
+    placement_parameters().into_iter().chain(patience).collect()
 }
 
 /// The environment variable of a flag.
@@ -184,46 +184,46 @@
 /// The command line.
 #[must_use]
 pub fn command(name: &'static str) -> Command {
-    let args = figures().into_iter().map(|figure| {
-        let Figure { least, most, .. } = figure;
-        let parser = move |text: &str| number(text, least, most);
+    let args = parameters().into_iter().map(|parameter| {
+        let Parameter { min, max, .. } = parameter;
+        let parser = move |text: &str| parse_number(text, min, max);
         let help = format!(
-            "{} [{least} to {most}; default {}]",
-            figure.help, figure.standard
+            "{} [{min} to {max}; default {}]",
+            parameter.help, parameter.default
         );
-        Arg::new(figure.flag)
-            .long(figure.flag)
-            .env(variable(figure.flag))
+        Arg::new(parameter.flag)
+            .long(parameter.flag)
+            .env(variable(parameter.flag))
             .value_parser(ValueParser::new(parser))
             .help(help)
     });
     Command::new(name)
-        .about("Routes callers' requests to targets on the users' platform")
+        .about("Routes client requests to targets on the users' platform")
         .args(args)
 }
 
-fn number(text: &str, least: f64, most: f64) -> Result<f64, String> {
+fn parse_number(text: &str, min: f64, max: f64) -> Result<f64, String> {
     let value: f64 = text
         .parse()
         .map_err(|_| format!("{text} is not a number"))?;
-    if (least..=most).contains(&value) {
+    if (min..=max).contains(&value) {
         return Ok(value);
     }
-    Err(format!("must be {least} to {most}"))
+    Err(format!("must be {min} to {max}"))
 }
 
-/// Reads flags and environment.
+/// Parses flags and environment variables.
 ///
 /// # Errors
 ///
-/// A message that names the flag, the value and what is allowed.
+/// A message that names the flag, the value and the allowed range.
 pub fn parse(
     name: &'static str,
     arguments: impl IntoIterator<Item = OsString>,
 ) -> Result<Flags, Error> {
     let matches = command(name).try_get_matches_from(arguments)?;
-    let figures = figures();
-    let value = |flag| value(&figures, &matches, flag);
+    let parameters = parameters();
+    let value = |flag| value(&parameters, &matches, flag);
     Ok(Flags {
         policy: Policy {
             max_slot_utilization: value("fill"),
@@ -243,28 +243,26 @@
             again: value("again"),
         },
         report_interval: Duration::from_secs_f64(value("report-ms") / 1_000.0),
-        cell_targets: whole(value("cell-targets")),
+        cell_targets: round(value("cell-targets")),
         memory_interval: Duration::from_secs_f64(value("memory-ms") / 1_000.0),
     })
 }
 
-/// A figure of which only the whole part counts.
+/// Rounds a value to a whole number.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "the flag's range is small and positive"
 )]
-fn whole(value: f64) -> usize {
+fn round(value: f64) -> usize {
     value.round() as usize
 }
 
-fn value(figures: &[Figure], matches: &ArgMatches, flag: &str) -> f64 {
+fn value(parameters: &[Parameter], matches: &ArgMatches, flag: &str) -> f64 {
     let given = matches.get_one::<f64>(flag).copied();
-    let standard = figures
+    let default = parameters
         .iter()
         .find(|it| it.flag == flag)
-        .map(|it| it.standard);
-    given
-        .or(standard)
-        .expect("every flag has a standard figure")
+        .map(|it| it.default);
+    given.or(default).expect("every flag has a default")
 }
--- a/crates/path/src/journal.rs
+++ b/crates/path/src/journal.rs
@@ -1,9 +1,9 @@
 //! Structured logs that never block.
 //!
-//! Each line is a JSON object with a fixed set of leading fields. Lines go to a
-//! buffer of fixed size; [`drain`] writes it to standard output without waiting.
-//! When a reader stalls and the buffer is full, lines are dropped and counted,
-//! and the count is written with the next line that fits.
+//! Each line is a JSON object with a fixed set of leading fields. Lines are appended to a buffer of
+//! limited size, which [`Journal::drain`] writes to standard output without blocking. If the reader
+//! stalls and the buffer is full, lines are dropped and counted, and the count is logged with the
+//! next line that fits.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,16 +11,16 @@
 
 use serde_json::{Map, Value};
 
-/// Bytes kept for a reader that is slow.
-const BUFFER: usize = 256 * 1024;
+/// Limit from which lines are dropped for a slow reader.
+const MAX_BUFFER_BYTES: usize = 256 * 1024;
 
-/// Longest text taken from outside in one field, in bytes.
-const LONGEST: usize = 200;
+/// Limit of a field's text that comes from outside.
+const MAX_TEXT_BYTES: usize = 200;
 
-/// Bytes of one write: what a pipe takes whole.
-const WRITE_BYTES: usize = 4_096;
+/// Limit of one write: a pipe writes this many bytes atomically.
+const MAX_WRITE_BYTES: usize = 4_096;
 
-/// How often the buffer is written.
+/// Interval between writes of the buffer.
 pub const WRITE_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derive(Debug, Default)]
@@ -29,14 +29,14 @@
     dropped: u64,
 }
 
-/// The log of one process.
+/// Log of one router.
 #[derive(Clone, Debug)]
 pub struct Journal {
     buffer: Rc<RefCell<Buffer>>,
     node: Rc<str>,
 }
 
-/// One line.
+/// A line, written to the buffer when it is dropped.
 #[derive(Debug)]
 pub struct Line {
     journal: Journal,
@@ -44,7 +44,7 @@
 }
 
 impl Journal {
-    /// A log whose lines name `node`.
+    /// Creates a log whose lines have `node` as their `node` field.
     #[must_use]
     pub fn new(node: &str) -> Self {
         Self {
@@ -53,11 +53,11 @@
         }
     }
 
-    /// Begins a line about an event; it is written when the value is dropped.
+    /// Starts a line about an event; it is written when the value is dropped.
     #[must_use]
     pub fn line(&self, event: &str) -> Line {
         let mut fields = Map::new();
-        fields.insert("at".into(), stamp().into());
+        fields.insert("at".into(), timestamp().into());
         fields.insert("node".into(), self.node.as_ref().into());
         fields.insert("event".into(), event.into());
         Line {
@@ -68,15 +68,17 @@
 
     fn push(&self, fields: &Map<String, Value>) {
         let mut buffer = self.buffer.borrow_mut();
-        if buffer.bytes.len() >= BUFFER {
+        if buffer.bytes.len() >= MAX_BUFFER_BYTES {
             buffer.dropped += 1;
             return;
         }
         if buffer.dropped > 0 {
-            let note = serde_json::json!({"at": stamp(), "node": self.node.as_ref(),
+            let notice = serde_json::json!({"at": timestamp(), "node": self.node.as_ref(),
                 "event": "lines_dropped", "count": buffer.dropped});
             buffer.dropped = 0;
-            buffer.bytes.extend_from_slice(note.to_string().as_bytes());
+            buffer
+                .bytes
+                .extend_from_slice(notice.to_string().as_bytes());
             buffer.bytes.push(b'\n');
         }
         if serde_json::to_writer(&mut buffer.bytes, fields).is_ok() {
@@ -88,7 +90,7 @@
     ///
     /// # Errors
     ///
-    /// If the descriptor doesn't allow it; lines may then block.
+    /// If the descriptor doesn't allow it; writing lines may then block.
     pub fn unblock(&self) -> std::io::Result<()> {
         use rustix::fs::{OFlags, fcntl_getfl, fcntl_setfl};
         let stdout = rustix::stdio::stdout();
@@ -97,21 +99,21 @@
         Ok(())
     }
 
-    /// Writes what the reader takes now.
+    /// Writes as much as the reader accepts without blocking.
     pub fn drain(&self) {
         let mut buffer = self.buffer.borrow_mut();
-        let mut done = 0;
-        while done < buffer.bytes.len() {
-            let end = whole_lines(&buffer.bytes, done);
-            match rustix::io::write(rustix::stdio::stdout(), &buffer.bytes[done..end]) {
+        let mut written = 0;
+        while written < buffer.bytes.len() {
+            let end = end_of_lines(&buffer.bytes, written);
+            match rustix::io::write(rustix::stdio::stdout(), &buffer.bytes[written..end]) {
                 Ok(0) | Err(rustix::io::Errno::AGAIN) => break,
-                Ok(count) => done += count,
+                Ok(count) => written += count,
                 Err(rustix::io::Errno::INTR) => {}
-                // Nobody reads any more; keeping the lines would not help.
-                Err(_) => done = buffer.bytes.len(),
+                // There is no reader any more; keeping the lines would not help.
+                Err(_) => written = buffer.bytes.len(),
             }
         }
-        buffer.bytes.drain(..done);
+        buffer.bytes.drain(..written);
     }
 }
 
@@ -123,10 +125,10 @@
         self
     }
 
-    /// Adds a text from outside, cut to a bounded length.
+    /// Adds a text from outside, truncated to a bounded length.
     #[must_use]
     pub fn with_text(self, name: &str, text: &str) -> Self {
-        let mut end = text.len().min(LONGEST);
+        let mut end = text.len().min(MAX_TEXT_BYTES);
         while !text.is_char_boundary(end) {
             end -= 1;
         }
@@ -146,12 +148,12 @@
     }
 }
 
-/// Where to end a write that begins at `from`: whole lines only, as far as they fit, so
-/// that the system doesn't tear a line that another writer's could come into.
-fn whole_lines(bytes: &[u8], from: usize) -> usize {
-    let most = bytes.len().min(from + WRITE_BYTES);
-    let end = bytes[from..most].iter().rposition(|it| *it == b'\n');
-    end.map_or(most, |end| from + end + 1)
+/// End of a write that starts at `from`: after the last complete line that fits, so that no line is
+/// split and mixed with another writer's.
+fn end_of_lines(bytes: &[u8], from: usize) -> usize {
+    let limit = bytes.len().min(from + MAX_WRITE_BYTES);
+    let end = bytes[from..limit].iter().rposition(|it| *it == b'\n');
+    end.map_or(limit, |end| from + end + 1)
 }
 
 /// A duration in whole milliseconds.
@@ -160,7 +162,7 @@
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn stamp() -> f64 {
+fn timestamp() -> f64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0.0, |it| (it.as_secs_f64() * 1_000.0).round() / 1_000.0)
 }
--- a/crates/path/src/metrics.rs
+++ b/crates/path/src/metrics.rs
@@ -1,8 +1,8 @@
-//! What a router counts and times.
+//! Counters and histograms of a router.
 //!
-//! Instruments come from a meter of this router's own provider, so routers of
-//! one process do not mix. A family has one label, `of`, whose values are a few
-//! fixed words or names of services and routes, so their number is bounded.
+//! Instruments come from a meter of the router's own provider, so that routers in one process have
+//! separate metrics. A family has one label, `of`, whose values are a few fixed words or names of
+//! services and routes, which bounds their number.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -13,8 +13,8 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Registry, TextEncoder};
 
-/// Bounds of the histograms in seconds: from one step of an engine to a long deadline.
-const BOUNDS: [f64; 14] = [
+/// Bucket boundaries of the histograms in seconds: from one step of an engine to a long deadline.
+const BUCKETS_S: [f64; 14] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.2, 2.0, 4.0, 8.0, 16.0,
 ];
 
@@ -22,19 +22,19 @@
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    // Kept, as instruments stop when their provider is dropped.
+    // Keeps the instruments working: they stop when their provider is dropped.
     _provider: SdkMeterProvider,
     meter: Meter,
     counters: RefCell<HashMap<&'static str, Counter<u64>>>,
-    times: RefCell<HashMap<&'static str, Histogram<f64>>>,
+    histograms: RefCell<HashMap<&'static str, Histogram<f64>>>,
 }
 
 impl Metrics {
-    /// Nothing counted yet.
+    /// Creates an empty set of metrics.
     ///
     /// # Panics
     ///
-    /// Never: a new registry takes any exporter.
+    /// Never: a new registry accepts any exporter.
     #[must_use]
     pub fn new() -> Self {
         let registry = Registry::new();
@@ -43,18 +43,18 @@
             .without_scope_info()
             .without_target_info()
             .build()
-            .expect("a new registry takes any exporter");
+            .expect("a new registry accepts any exporter");
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         Self {
             registry,
             meter: provider.meter("dunlinward"),
             _provider: provider,
             counters: RefCell::default(),
-            times: RefCell::default(),
+            histograms: RefCell::default(),
         }
     }
 
-    /// Adds to a counter; `family` ends in what it counts.
+    /// Adds to a counter; `family` ends with the unit or the items that it counts.
     pub fn add(&self, family: &'static str, label: &str, amount: u64) {
         let mut counters = self.counters.borrow_mut();
         let counter = counters.entry(family).or_insert_with(|| {
@@ -64,19 +64,19 @@
         counter.add(amount, &[KeyValue::new("of", label.to_owned())]);
     }
 
-    /// Adds a time to a histogram; `family` ends in `_seconds`.
+    /// Records a duration in a histogram; `family` ends with `_seconds`.
     pub fn time(&self, family: &'static str, label: &str, time: Duration) {
-        let mut times = self.times.borrow_mut();
-        let histogram = times.entry(family).or_insert_with(|| {
+        let mut histograms = self.histograms.borrow_mut();
+        let histogram = histograms.entry(family).or_insert_with(|| {
             let name = format!("dunlinward_{family}");
             let histogram = self.meter.f64_histogram(name);
-            histogram.with_boundaries(BOUNDS.to_vec()).build()
+            histogram.with_boundaries(BUCKETS_S.to_vec()).build()
         });
         let label = KeyValue::new("of", label.to_owned());
         histogram.record(time.as_secs_f64(), &[label]);
     }
 
-    /// All that was counted, as text.
+    /// All metrics in the Prometheus text format.
     #[must_use]
     pub fn text(&self) -> String {
         let families = self.registry.gather();
--- a/crates/path/src/settings.rs
+++ b/crates/path/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a router is told, and the figures by which requests wait.
+//! Settings of a router, and the parameters of its queue.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,79 +8,81 @@
 use dunlinward_dispatch::placement::Policy;
 use dunlinward_dispatch::region::Regions;
 
-/// What a router is told at its start.
+/// Settings of a router, fixed at its start.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Name of this router.
     pub name: Arc<str>,
     /// Its failure domain.
     pub domain: Arc<str>,
-    /// Which failure domains lie near each other.
+    /// Regions of failure domains that are close to each other.
     pub regions: Arc<Regions>,
-    /// Where callers connect.
+    /// Address on which clients connect.
     pub callers: SocketAddr,
-    /// Where the platform asks whether this router takes callers.
+    /// Address of the platform's readiness checks.
     pub ready: SocketAddr,
-    /// Where peers send reports and fetch views; the same port at all routers.
+    /// Address on which peers send messages and fetch views; the port is the same at all routers.
     pub link: SocketAddr,
-    /// Where metrics are read.
+    /// Address on which metrics are served.
     pub metrics: SocketAddr,
-    /// Routers to greet first.
+    /// Routers that are contacted first.
     pub seeds: Vec<SocketAddr>,
-    /// Bound on requests that are sent once more.
+    /// Limit of requests that are sent again.
     pub repeats: Bound,
-    /// Window over which customers' shares hold.
+    /// Window over which customers' shares are measured.
     pub share_window: Duration,
     /// Time between SIGTERM and SIGKILL.
     pub grace: Duration,
-    /// Figures by which targets are chosen.
+    /// Parameters of the choice of targets.
     pub policy: Policy,
-    /// Figures by which requests wait.
+    /// Parameters of the queue.
     pub patience: Patience,
-    /// Bound on requests to cold targets.
+    /// Limit of requests to cold targets.
     pub cold: ColdBound,
-    /// Time between greetings to peers.
+    /// Interval between heartbeats to peers.
     pub report_interval: Duration,
-    /// Thousandths of a core that this router has.
+    /// This router's processor, in thousandths of a core.
     pub millicores: u32,
-    /// Targets of a cell, about.
+    /// Approximate number of targets per cell.
     pub cell_targets: usize,
-    /// Time between two questions to an engine about its memory; none are asked if it is zero.
+    /// Interval between two queries to an engine's cache; zero disables them.
     pub memory_interval: Duration,
 }
 
-/// How many requests a cold target may get in one second, against the rate that it is made for.
+/// Limit of the requests that a cold target receives in one second, relative to its rated
+/// throughput.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdBound {
-    /// Times that rate.
+    /// Factor of that rate.
     pub excess: f64,
-    /// And so many more.
+    /// Requests in addition to that.
     pub slack: f64,
 }
 
-/// How long requests wait and when refused callers may come back.
+/// How long requests wait for a target, and when refused clients may retry.
 #[derive(Clone, Copy, Debug)]
 pub struct Patience {
-    /// Part of its objective that a request waits.
+    /// Wait of a first attempt, as a fraction of its objective.
     pub first: f64,
-    /// The same for a caller that was refused before.
+    /// Wait of a retry, as a fraction of its objective.
     pub returning: f64,
-    /// Part of its objective after which a request may go where its prefix is not.
+    /// Wait before a request may be placed where its prefix is not cached, as a fraction of its
+    /// objective.
     pub miss: f64,
-    /// Part of the objective after which a refused caller may come back.
+    /// Delay after which a refused client may retry, as a fraction of its objective.
     pub come_back: f64,
-    /// Part of all room that a request beyond its customer's share may use.
+    /// Fraction of the capacity that is available to a request beyond its customer's share.
     pub over_share: f64,
-    /// Part of that room that it may use if its caller was refused before, and so is late.
+    /// Fraction of that capacity that is available to a retry, which is late.
     pub again: f64,
 }
 
 impl Default for Patience {
     fn default() -> Self {
         Self {
-            // Time spent here is lost at the engine, where a prompt waits again: with 0.06 instead of
-            // 0.2 callers got 0.853 of the worth they asked for instead of 0.838 (mean of five
-            // days of high load and faults).
+            // Time spent in this queue is lost at the engine, where a prompt is queued again. With
+            // 0.06 instead of 0.2, clients got 0.853 of the worth that they asked for instead of
+            // 0.838 (mean of five days of high load and faults).
             first: 0.06,
             miss: 0.04,
             returning: 0.06,
