--- a/crates/path/src/lib.rs
+++ b/crates/path/src/lib.rs
@@ -1,29 +1,31 @@
-//! The data path of a router on one event loop.
+//! Data path of a router on one event loop.
 //!
-//! Callers, targets, peers and the views of the platform share one thread and
-//! one [`node::Node`]. What crosses the wire is translated by a
-//! [`dialect::Dialect`]; what is decided, is decided in `dunlinward-dispatch`.
+//! Clients, targets, peers and the views of the platform share one thread and one [`node::Node`]. A
+//! [`dialect::Dialect`] translates the headers of requests and answers; decisions are made in
+//! `dunlinward-dispatch`.
 //!
-//! - [`node`]: a router; [`settings`], [`state`], [`queue`], [`lease`]: what it is told,
-//!   what it knows, requests that wait, places at targets.
-//! - [`server`]: callers' connections.
-//! - [`exchange`]: one request from its head to its answer; [`tell`]: its log lines.
-//! - [`admission`]: a request against the configuration in force.
-//! - [`pool`], [`attempt`]: connections to targets, one attempt at a target.
-//! - [`event`], [`relay`]: streams of events, and how one goes on elsewhere.
-//! - [`place`], [`pending`], [`owner`]: a place asked of the router that owns a cell, and given there.
-//! - [`cut`]: what became of a target under which an answer broke off; [`quarantine`]: what is known of
-//!   contents under which targets end.
-//! - `leaving`: what targets say of their own leaving, and whom it is told.
-//! - [`memories`]: what engines say that they keep of prompts.
-//! - [`gossip`], [`view`]: who is alive, and views taken over from a peer.
+//! - [`node`]: a router; [`settings`], [`state`], [`queue`], [`lease`]: its settings, its state,
+//!   the requests that wait, and places at targets.
+//! - [`server`]: clients' connections.
+//! - [`exchange`], [`reply`]: processing of one request, up to its answer; [`tell`]: its log lines.
+//! - [`admission`]: checks of a request against the configuration in force.
+//! - [`pool`], [`attempt`]: connections to targets, and one attempt at a target.
+//! - [`event`], [`relay`]: event streams, and their resumption at another target.
+//! - [`place`], [`pending`], [`owner`], `lending`: placement of requests, by the router that owns a
+//!   cell on behalf of others.
+//! - [`cut`]: state of the target of an answer that broke off; [`quarantine`]: contents under which
+//!   targets terminated.
+//! - `leaving`: targets' announcements that they are leaving.
+//! - [`evacuation`]: eras of the platform's store, and evacuated failure domains.
+//! - [`memories`]: polling of the prefix caches of engines.
+//! - [`gossip`], [`view`]: membership, and views fetched from peers.
 //! - [`courier`], [`inbox`]: messages between routers.
-//! - [`strain`]: whether the router keeps up.
-//! - [`targets`]: the list of targets, and what a change of it ends.
-//! - [`clock`], [`wake`]: time, with that of suspensions; what is done after one.
-//! - [`life`]: signals, drain and end.
-//! - [`flags`]: the figures that operators may set.
-//! - [`journal`], [`metrics`]: what operators see.
+//! - [`strain`]: detection of overload.
+//! - [`targets`]: the list of targets, and the effects of its changes.
+//! - [`clock`], [`wake`]: time including suspensions, and what follows a suspension.
+//! - [`life`]: signal handling and graceful shutdown.
+//! - [`flags`]: command-line flags.
+//! - [`journal`], [`metrics`]: logs and metrics.
 
 pub mod admission;
 pub mod attempt;
