--- a/crates/path/examples/decision-cost.rs
+++ b/crates/path/examples/decision-cost.rs
@@ -1,9 +1,8 @@
-//! What the decisions of the data path and the words between routers cost, by the
-//! size of the fleet.
+//! Cost of the data path's decisions and of the messages between routers, by the size of the fleet.
 //!
-//! Prints, for each size, the bytes of each message, what a router sends a second
-//! with headers left out, and the processor time of a request at the owner of its
-//! cell. Figures are of this machine, one thread, after a warm-up.
+//! For each size, prints the bytes of each message, the bytes per second that a router sends
+//! without packet headers, and the processor time of a request at the owner of its cell. The times
+//! are of one thread on this machine, after a warm-up.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -19,7 +18,7 @@
     Content, CustomerTag, CustomerUse, Grant, Heartbeat, LoadReport, Message, Request, Return,
     TargetLoad, Views,
 };
-use dunlinward_dispatch::placement::{self, Candidate, Criteria as Wanted, Policy};
+use dunlinward_dispatch::placement::{self, Candidate, Criteria, Policy};
 use dunlinward_dispatch::prefix::{Part, Prompt};
 use dunlinward_dispatch::reading::Reading;
 use dunlinward_dispatch::region::Region;
@@ -29,21 +28,21 @@
 use dunlinward_dispatch::target::{State, Tag, Target};
 use dunlinward_dispatch::usage::{Load, Peer};
 
-/// Rounds of each measurement.
-const ROUNDS: u32 = 2_000;
+/// Iterations per measurement.
+const ITERATIONS: u32 = 2_000;
 
-/// Greetings a second, as the standard settings have it: ten probes and as many answers, and three
-/// for each of two views that is confirmed once a second.
-const GREETINGS: f64 = 26.0;
+/// Heartbeats per second with the default settings: ten probes and as many answers, and three for
+/// each of two views that are confirmed once per second.
+const HEARTBEATS_PER_S: f64 = 26.0;
 
-/// Reports of work a second to each owner.
-const REPORTS: f64 = 1.0 / 0.3;
+/// Load reports per second to each owner.
+const REPORTS_PER_S: f64 = 1.0 / 0.3;
 
 struct Size {
     routers: u32,
     targets: u32,
     customers: u32,
-    /// Requests a second at one router.
+    /// Requests per second at one router.
     requests: f64,
 }
 
@@ -70,7 +69,7 @@
 
 fn main() {
     println!(
-        "routers targets cells  greet  ask grant read return work  fellow  KB/s out  owner us  place us  cut us"
+        "routers targets cells  hbeat  req grant read return load    cust  KB/s out  owner us  place us list us"
     );
     for size in SIZES {
         let bytes = Bytes::new(&size);
@@ -79,17 +78,17 @@
             size.routers,
             size.targets,
             cells(&size),
-            bytes.greeting,
-            bytes.ask,
+            bytes.heartbeat,
+            bytes.request,
             bytes.grant,
             bytes.read,
             bytes.returned,
-            bytes.work,
-            bytes.fellow,
-            bytes.out(&size),
+            bytes.load_report,
+            bytes.customer_report,
+            bytes.kb_per_s(&size),
             owner(&size),
             place(&size),
-            cut(&size),
+            partition(&size),
         );
     }
 }
@@ -99,20 +98,20 @@
 }
 
 fn count(number: u32) -> usize {
-    usize::try_from(number).expect("a few hundred")
+    usize::try_from(number).expect("counts are small")
 }
 
 /// Bytes of each message.
 struct Bytes {
-    greeting: usize,
-    ask: usize,
+    heartbeat: usize,
+    request: usize,
     grant: usize,
     read: usize,
     returned: usize,
-    /// A router's report to one owner.
-    work: usize,
-    /// One owner's report of customers to another.
-    fellow: usize,
+    /// A router's load report to one owner.
+    load_report: usize,
+    /// One owner's report on customers to another.
+    customer_report: usize,
 }
 
 impl Bytes {
@@ -131,8 +130,8 @@
             refusal: None,
         };
         Self {
-            greeting: length(Content::Heartbeat(greeting())),
-            ask: length(Content::Request(ask())),
+            heartbeat: length(Content::Heartbeat(heartbeat())),
+            request: length(Content::Request(request())),
             grant: length(Content::Grant(Grant {
                 number: 70_000,
                 tag,
@@ -146,23 +145,23 @@
                 unread: 17_000,
             }),
             returned: length(Content::Return(returned)),
-            work: length(Content::LoadReport(work(size))),
-            fellow: length(Content::LoadReport(fellow(size))),
+            load_report: length(Content::LoadReport(load_report(size))),
+            customer_report: length(Content::LoadReport(customer_report(size))),
         }
     }
 
-    /// Kilobytes a second that a router sends: greetings, its requests' words and reports,
-    /// and its part of what owners send.
-    fn out(&self, size: &Size) -> f64 {
-        let bytes = |it: usize| f64::from(u32::try_from(it).expect("a datagram"));
-        let greetings = GREETINGS * bytes(self.greeting);
-        let words = bytes(self.ask + self.grant + self.read + self.returned);
-        let requests = size.requests * words;
+    /// Kilobytes per second that a router sends: heartbeats, messages and reports about its
+    /// requests, and its part of the reports between owners.
+    fn kb_per_s(&self, size: &Size) -> f64 {
+        let bytes = |it: usize| f64::from(u32::try_from(it).expect("a message fits in a datagram"));
+        let heartbeats = HEARTBEATS_PER_S * bytes(self.heartbeat);
+        let messages = bytes(self.request + self.grant + self.read + self.returned);
+        let requests = size.requests * messages;
         let cells = f64::from(cells(size));
-        let reports = REPORTS * cells * bytes(self.work);
-        let fellows = REPORTS * cells * (cells - 1.0) * bytes(self.fellow);
-        let fellows = fellows / f64::from(size.routers);
-        (greetings + requests + reports + fellows) / 1_024.0
+        let reports = REPORTS_PER_S * cells * bytes(self.load_report);
+        let customer_reports = REPORTS_PER_S * cells * (cells - 1.0) * bytes(self.customer_report);
+        let customer_reports = customer_reports / f64::from(size.routers);
+        (heartbeats + requests + reports + customer_reports) / 1_024.0
     }
 }
 
@@ -172,10 +171,10 @@
         content,
     };
     let bytes = bincode::serde::encode_to_vec(&message, standard());
-    bytes.expect("a message encodes").len()
+    bytes.expect("messages can be encoded").len()
 }
 
-fn card(number: u32) -> Descriptor {
+fn descriptor(number: u32) -> Descriptor {
     let [_, _, high, low] = number.to_be_bytes();
     Descriptor {
         address: ([10, 1, high, low], 7400).into(),
@@ -185,9 +184,9 @@
     }
 }
 
-fn greeting() -> Heartbeat {
+fn heartbeat() -> Heartbeat {
     let packet = Packet {
-        sender: Update::new(card(1)),
+        sender: Update::new(descriptor(1)),
         digest: u32::MAX / 3,
         kind: Kind::Probe(u64::MAX / 3),
         updates: Vec::new(),
@@ -227,10 +226,10 @@
     }
 }
 
-fn ask() -> Request {
+fn request() -> Request {
     Request {
         number: 70_000,
-        cell: a_cell(),
+        cell: first_cell(),
         content: Some(ContentTag(u64::MAX / 5)),
         prompt: Some(prompt()),
         customer: Some(CustomerTag(u32::MAX / 3)),
@@ -245,7 +244,7 @@
     }
 }
 
-fn a_cell() -> Cell {
+fn first_cell() -> Cell {
     Cell {
         service: ServiceTag::new("pool"),
         region: Region::default(),
@@ -253,8 +252,8 @@
     }
 }
 
-/// A router's report to one owner: its requests of a second, spread over the cells.
-fn work(size: &Size) -> LoadReport {
+/// A router's load report to one owner: its requests of a second, spread over the cells.
+fn load_report(size: &Size) -> LoadReport {
     let cells = f64::from(cells(size));
     let loads = (0u32..).take_while(|it| f64::from(*it) < size.requests / cells);
     let loads = loads.map(|number| TargetLoad {
@@ -264,7 +263,7 @@
             unread: 4_000,
         },
     });
-    // Places that are used are named in two reports, 0.3 s apart.
+    // Places that are used are listed in two reports, 0.3 s apart.
     let accepted = (70_000u64..).zip(0u32..);
     let accepted = accepted.take_while(|(_, it)| f64::from(*it) < size.requests * 0.6 / cells);
     LoadReport {
@@ -274,8 +273,8 @@
     }
 }
 
-/// What one owner tells another: a tenth of the customers is backlogged, and a few are large.
-fn fellow(size: &Size) -> LoadReport {
+/// One owner's report to another: a tenth of the customers is backlogged, and a few are large.
+fn customer_report(size: &Size) -> LoadReport {
     let customers = (0..size.customers / 10 + 10).map(|number| CustomerUse {
         tag: CustomerTag(number.wrapping_mul(2_654_435_761)),
         asked: 20_000,
@@ -303,15 +302,15 @@
 
 /// Microseconds to find the owner of a cell.
 fn owner(size: &Size) -> f64 {
-    let mut members = Members::new(card(0));
+    let mut members = Members::new(descriptor(0));
     for number in 1..size.routers {
-        members.upsert(&card(number), Condition::Healthy, Duration::ZERO);
+        members.upsert(&descriptor(number), Condition::Healthy, Duration::ZERO);
     }
     let now = Duration::from_secs(5);
-    time(|| members.owner(black_box(a_cell()), now))
+    microseconds(|| members.owner(black_box(first_cell()), now))
 }
 
-/// Microseconds to choose a target of a cell for a request.
+/// Microseconds to choose a target in a cell for a request.
 fn place(size: &Size) -> f64 {
     let prompt = prompt();
     let targets = targets(size);
@@ -331,7 +330,7 @@
             }),
         })
         .collect();
-    let wanted = Wanted {
+    let criteria = Criteria {
         prompt: Some(&prompt),
         objective: Duration::from_millis(800),
         rate: 32_000.0,
@@ -344,25 +343,25 @@
         tie_breaker: 1,
     };
     let policy = Policy::default();
-    time(|| placement::choose(&policy, &wanted, black_box(&candidates)))
+    microseconds(|| placement::choose(&policy, &criteria, black_box(&candidates)))
 }
 
-/// Microseconds to take a new list of targets and cut it into cells.
-fn cut(size: &Size) -> f64 {
+/// Microseconds to apply a new list of targets and partition it into cells.
+fn partition(size: &Size) -> f64 {
     let targets = targets(size);
     let mut registry = Registry::new();
     let mut now = Duration::ZERO;
-    time(|| {
+    microseconds(|| {
         now += Duration::from_millis(1);
         registry.apply_list(targets.clone(), now)
     })
 }
 
-fn time<T>(mut run: impl FnMut() -> T) -> f64 {
+fn microseconds<T>(mut run: impl FnMut() -> T) -> f64 {
     black_box(run());
-    let begun = Instant::now();
-    for _ in 0..ROUNDS {
+    let start = Instant::now();
+    for _ in 0..ITERATIONS {
         black_box(run());
     }
-    begun.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
+    start.elapsed().as_secs_f64() * 1e6 / f64::from(ITERATIONS)
 }
