--- a/crates/path/src/lib.rs
+++ b/crates/path/src/lib.rs
@@ -20,7 +20,7 @@
 //! - [`memories`]: polling of the prefix caches of engines.
 //! - [`gossip`], [`view`]: membership, and views fetched from peers.
 //! - [`courier`], [`inbox`]: messages between routers.
-//! - [`strain`]: detection of overload.
+//! - [`overload`]: detection of overload.
 //! - [`targets`]: the list of targets, and the effects of its changes.
 //! - [`clock`], [`wake`]: time including suspensions, and what follows a suspension.
 //! - [`life`]: signal handling and graceful shutdown.
@@ -47,6 +47,7 @@
 pub mod memories;
 pub mod metrics;
 pub mod node;
+pub mod overload;
 pub mod owner;
 pub mod pending;
 pub mod place;
@@ -58,7 +59,6 @@
 pub mod server;
 pub mod settings;
 pub mod state;
-pub mod strain;
 pub mod targets;
 pub mod tell;
 pub mod view;
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -29,12 +29,12 @@
 use crate::inbox::Buffer;
 use crate::journal::{Journal, Line, millis};
 use crate::metrics::Metrics;
+use crate::overload::Detector;
 use crate::pending::Pending;
 use crate::pool::Pool;
 use crate::quarantine::WriteQueue;
 use crate::settings::Settings;
 use crate::state::State;
-use crate::strain::Strain;
 use crate::view::Fetches;
 use crate::wake::Wake;
 
@@ -104,7 +104,7 @@
     pub(crate) gossip: Gossip,
     pub(crate) fetching: Fetches,
     pub(crate) pending: Pending,
-    pub(crate) strain: Strain,
+    pub(crate) overload: Detector,
     pub(crate) state: RefCell<State>,
     /// Entries that the store is to keep.
     pub(crate) unwritten: WriteQueue,
@@ -141,7 +141,7 @@
             gossip: Gossip::default(),
             fetching: Fetches::default(),
             pending: Pending::default(),
-            strain: Strain::default(),
+            overload: Detector::default(),
             state: RefCell::new(state),
             unwritten: WriteQueue::default(),
             clock,
@@ -212,7 +212,7 @@
         // What the others refuse must not find the one router that has not heard of it yet.
         let known = known && (state.quarantine_known || self.now() >= UNHEARD);
         let known = known && (state.compared || self.alone() || self.now() >= UNCOMPARED);
-        let sound = self.leaving().is_none() && !self.strain.behind();
+        let sound = self.leaving().is_none() && !self.overload.behind();
         drop(state);
         known && sound && self.confirmed_since_wake()
     }
--- a/crates/path/src/strain.rs
+++ b/crates/path/src/overload.rs
@@ -35,7 +35,7 @@
 
 /// Overload state, from the lateness of this router's timers.
 #[derive(Debug, Default)]
-pub struct Strain {
+pub struct Detector {
     /// Mean lateness in seconds.
     mean_s: Cell<f64>,
     /// While overloaded: the earliest end of the overload.
@@ -45,7 +45,7 @@
     recovered_at: Cell<Duration>,
 }
 
-impl Strain {
+impl Detector {
     /// Whether the router is overloaded.
     #[must_use]
     pub fn behind(&self) -> bool {
@@ -96,20 +96,20 @@
 impl Node {
     /// Records a timer of this router that fired late.
     pub(crate) fn note_lateness(&self, late: Duration) {
-        if self.strain.note(late, self.now()) {
+        if self.overload.note(late, self.now()) {
             self.report_overload(late);
         }
     }
 
     /// Records that a connection could not be accepted, so that clients are sent to other routers.
     pub(crate) fn note_refusing(&self) {
-        if self.strain.refusing(self.now()) {
+        if self.overload.refusing(self.now()) {
             self.report_overload(Duration::ZERO);
         }
     }
 
     fn report_overload(&self, late: Duration) {
-        let behind = self.strain.behind();
+        let behind = self.overload.behind();
         let event = if behind { "behind" } else { "caught_up" };
         let line = self.journal.line(event).with_ms("late_ms", late);
         drop(line.with("open", self.open.get()));
