--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -212,7 +212,7 @@
         // What the others refuse must not find the one router that has not heard of it yet.
         let known = known && (state.quarantine_known || self.now() >= UNHEARD);
         let known = known && (state.compared || self.alone() || self.now() >= UNCOMPARED);
-        let sound = self.leaving().is_none() && !self.overload.behind();
+        let sound = self.leaving().is_none() && !self.overload.is_overloaded();
         drop(state);
         known && sound && self.confirmed_since_wake()
     }
--- a/crates/path/src/overload.rs
+++ b/crates/path/src/overload.rs
@@ -48,12 +48,12 @@
 impl Detector {
     /// Whether the router is overloaded.
     #[must_use]
-    pub fn behind(&self) -> bool {
+    pub fn is_overloaded(&self) -> bool {
         self.min_end.get().is_some()
     }
 
     /// Records a timer that fired `late`; returns whether the overload state changed.
-    pub fn note(&self, late: Duration, now: Duration) -> bool {
+    pub fn record_lateness(&self, late: Duration, now: Duration) -> bool {
         let mean_s = self.mean_s.get();
         let mean_s = mean_s + (late.as_secs_f64() - mean_s) * SAMPLE_WEIGHT;
         self.mean_s.set(mean_s);
@@ -69,8 +69,8 @@
     }
 
     /// Records that a connection could not be accepted; returns whether the overload state changed.
-    pub fn refusing(&self, now: Duration) -> bool {
-        let before = self.behind();
+    pub fn record_accept_failure(&self, now: Duration) -> bool {
+        let before = self.is_overloaded();
         if before {
             let min_end = self.min_end.get().unwrap_or_default();
             self.min_end.set(Some(min_end.max(now + MIN_OVERLOAD)));
@@ -96,24 +96,24 @@
 impl Node {
     /// Records a timer of this router that fired late.
     pub(crate) fn note_lateness(&self, late: Duration) {
-        if self.overload.note(late, self.now()) {
+        if self.overload.record_lateness(late, self.now()) {
             self.report_overload(late);
         }
     }
 
     /// Records that a connection could not be accepted, so that clients are sent to other routers.
     pub(crate) fn note_refusing(&self) {
-        if self.overload.refusing(self.now()) {
+        if self.overload.record_accept_failure(self.now()) {
             self.report_overload(Duration::ZERO);
         }
     }
 
     fn report_overload(&self, late: Duration) {
-        let behind = self.overload.behind();
-        let event = if behind { "behind" } else { "caught_up" };
+        let overloaded = self.overload.is_overloaded();
+        let event = if overloaded { "behind" } else { "caught_up" };
         let line = self.journal.line(event).with_ms("late_ms", late);
         drop(line.with("open", self.open.get()));
         self.metrics.add("strain", event, 1);
-        self.state.borrow_mut().set_behind(behind);
+        self.state.borrow_mut().set_behind(overloaded);
     }
 }
