--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -54,7 +54,7 @@
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         let late = timer.tick().await.elapsed();
-        node.note_lateness(late);
+        node.record_lateness(late);
         node.look_for_wake();
         let late = late + node.wake.take_late();
         let now = node.now();
--- a/crates/path/src/overload.rs
+++ b/crates/path/src/overload.rs
@@ -95,14 +95,14 @@
 
 impl Node {
     /// Records a timer of this router that fired late.
-    pub(crate) fn note_lateness(&self, late: Duration) {
+    pub(crate) fn record_lateness(&self, late: Duration) {
         if self.overload.record_lateness(late, self.now()) {
             self.report_overload(late);
         }
     }
 
     /// Records that a connection could not be accepted, so that clients are sent to other routers.
-    pub(crate) fn note_refusing(&self) {
+    pub(crate) fn record_accept_failure(&self) {
         if self.overload.record_accept_failure(self.now()) {
             self.report_overload(Duration::ZERO);
         }
--- a/crates/path/src/server.rs
+++ b/crates/path/src/server.rs
@@ -74,7 +74,7 @@
             Err(error) => {
                 let line = node.journal.line("accept_failed");
                 drop(line.with("error", error.to_string()));
-                node.note_refusing();
+                node.record_accept_failure();
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
