--- a/crates/path/src/lib.rs
+++ b/crates/path/src/lib.rs
@@ -17,7 +17,7 @@
 //!   targets terminated.
 //! - `leaving`: targets' announcements that they are leaving.
 //! - [`evacuation`]: eras of the platform's store, and evacuated failure domains.
-//! - [`memories`]: polling of the prefix caches of engines.
+//! - [`cache_polling`]: polling of the prefix caches of engines.
 //! - [`gossip`], [`view`]: membership, and views fetched from peers.
 //! - [`courier`], [`inbox`]: messages between routers.
 //! - [`overload`]: detection of overload.
@@ -29,6 +29,7 @@
 
 pub mod admission;
 pub mod attempt;
+pub mod cache_polling;
 pub mod clock;
 pub mod courier;
 pub mod cut;
@@ -44,7 +45,6 @@
 mod leaving;
 mod lending;
 pub mod life;
-pub mod memories;
 pub mod metrics;
 pub mod node;
 pub mod overload;
--- a/crates/path/tests/memories.rs
+++ b/crates/path/tests/cache_polling.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dunlinward_path::memories::query_interval;
+use dunlinward_path::cache_polling::query_interval;
 
 const INTERVAL: Duration = Duration::from_millis(400);
 
