--- a/crates/path/src/inbox.rs
+++ b/crates/path/src/inbox.rs
@@ -24,7 +24,7 @@
 /// Exchanges messages with other routers for as long as this one runs.
 pub async fn run(node: Rc<Node>, socket: UdpSocket) {
     let socket = Rc::new(socket);
-    node.courier.open(socket.clone());
+    node.outbound.open(socket.clone());
     tokio::join!(
         gossip::run(node.clone()),
         owner::report_work(node.clone()),
@@ -44,7 +44,7 @@
 
 /// Handles all messages that have arrived, up to one batch.
 pub(crate) fn receive_batch(node: &Rc<Node>) {
-    let Some(socket) = node.courier.socket() else {
+    let Some(socket) = node.outbound.socket() else {
         return;
     };
     node.look_for_wake();
--- a/crates/path/src/lib.rs
+++ b/crates/path/src/lib.rs
@@ -19,7 +19,7 @@
 //! - [`evacuation`]: eras of the platform's store, and evacuated failure domains.
 //! - [`cache_polling`]: polling of the prefix caches of engines.
 //! - [`gossip`], [`view`]: membership, and views fetched from peers.
-//! - [`courier`], [`inbox`]: messages between routers.
+//! - [`outbound`], [`inbox`]: messages between routers.
 //! - [`overload`]: detection of overload.
 //! - [`targets`]: the list of targets, and the effects of its changes.
 //! - [`clock`], [`wake`]: time including suspensions, and what follows a suspension.
@@ -31,7 +31,6 @@
 pub mod attempt;
 pub mod cache_polling;
 pub mod clock;
-pub mod courier;
 pub mod cut;
 pub mod dialect;
 pub mod evacuation;
@@ -47,6 +46,7 @@
 pub mod life;
 pub mod metrics;
 pub mod node;
+pub mod outbound;
 pub mod overload;
 pub mod owner;
 pub mod pending;
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -23,12 +23,12 @@
 use tokio::time::Instant;
 
 use crate::clock::Clock;
-use crate::courier::Courier;
 use crate::dialect::Dialect;
 use crate::gossip::{self, Gossip};
 use crate::inbox::Buffer;
 use crate::journal::{Journal, Line, millis};
 use crate::metrics::Metrics;
+use crate::outbound::Socket;
 use crate::overload::Detector;
 use crate::pending::Pending;
 use crate::pool::Pool;
@@ -99,7 +99,7 @@
     pub pool: Pool,
     /// Identity of this start.
     pub peer: Peer,
-    pub(crate) courier: Courier,
+    pub(crate) outbound: Socket,
     pub(crate) inbox: Buffer,
     pub(crate) gossip: Gossip,
     pub(crate) fetching: Fetches,
@@ -136,7 +136,7 @@
             metrics: Metrics::default(),
             pool: Pool::new(),
             peer,
-            courier: Courier::default(),
+            outbound: Socket::default(),
             inbox: Buffer::default(),
             gossip: Gossip::default(),
             fetching: Fetches::default(),
--- a/crates/path/src/courier.rs
+++ b/crates/path/src/outbound.rs
@@ -15,11 +15,11 @@
 
 /// The socket for messages to other routers; none before the router is started.
 #[derive(Debug, Default)]
-pub struct Courier {
+pub struct Socket {
     socket: RefCell<Option<Rc<UdpSocket>>>,
 }
 
-impl Courier {
+impl Socket {
     /// Sets the socket on which messages are sent.
     pub fn open(&self, socket: Rc<UdpSocket>) {
         *self.socket.borrow_mut() = Some(socket);
@@ -39,7 +39,7 @@
 
     /// Sends a message to several routers.
     pub fn send_all(&self, addresses: &[SocketAddr], content: Content) {
-        let Some(socket) = self.courier.socket.borrow().clone() else {
+        let Some(socket) = self.outbound.socket.borrow().clone() else {
             return;
         };
         let message = Message {
