--- a/crates/path/src/inbox.rs
+++ b/crates/path/src/inbound.rs
@@ -48,7 +48,7 @@
         return;
     };
     node.look_for_wake();
-    let mut buffer = node.inbox.0.borrow_mut();
+    let mut buffer = node.inbound.0.borrow_mut();
     for _ in 0..BATCH_SIZE {
         match socket.try_recv_from(&mut buffer) {
             Ok((length, from)) => decode(node, &buffer[..length], from),
--- a/crates/path/src/lib.rs
+++ b/crates/path/src/lib.rs
@@ -19,7 +19,7 @@
 //! - [`evacuation`]: eras of the platform's store, and evacuated failure domains.
 //! - [`cache_polling`]: polling of the prefix caches of engines.
 //! - [`gossip`], [`view`]: membership, and views fetched from peers.
-//! - [`outbound`], [`inbox`]: messages between routers.
+//! - [`outbound`], [`inbound`]: messages between routers.
 //! - [`overload`]: detection of overload.
 //! - [`targets`]: the list of targets, and the effects of its changes.
 //! - [`clock`], [`wake`]: time including suspensions, and what follows a suspension.
@@ -38,7 +38,7 @@
 pub mod exchange;
 pub mod flags;
 pub mod gossip;
-pub mod inbox;
+pub mod inbound;
 pub mod journal;
 pub mod lease;
 mod leaving;
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -25,7 +25,7 @@
 use crate::clock::Clock;
 use crate::dialect::Dialect;
 use crate::gossip::{self, Gossip};
-use crate::inbox::Buffer;
+use crate::inbound::Buffer;
 use crate::journal::{Journal, Line, millis};
 use crate::metrics::Metrics;
 use crate::outbound::Socket;
@@ -100,7 +100,7 @@
     /// Identity of this start.
     pub peer: Peer,
     pub(crate) outbound: Socket,
-    pub(crate) inbox: Buffer,
+    pub(crate) inbound: Buffer,
     pub(crate) gossip: Gossip,
     pub(crate) fetching: Fetches,
     pub(crate) pending: Pending,
@@ -137,7 +137,7 @@
             pool: Pool::new(),
             peer,
             outbound: Socket::default(),
-            inbox: Buffer::default(),
+            inbound: Buffer::default(),
             gossip: Gossip::default(),
             fetching: Fetches::default(),
             pending: Pending::default(),
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -17,7 +17,7 @@
 use dunlinward_dispatch::target::{Tag, Target};
 use tokio::sync::mpsc;
 
-use crate::inbox;
+use crate::inbound;
 use crate::lease::{Giver, Lease, Place};
 use crate::node::Node;
 use crate::pending::Answer;
@@ -289,7 +289,7 @@
         // its turn only after this: customers with a late router got 0.84 to 0.94 of the best
         // served one in six seconds, and 0.63 to 0.91 without; places that came too late fell from
         // 12 to 25 M tokens to 3 to 4 M (24 s of a flood, 85 routers).
-        inbox::receive_batch(self.node);
+        inbound::receive_batch(self.node);
         self.answers.try_recv().ok()
     }
 
