--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -28,10 +28,10 @@
 use crate::attempt::{self, Attempt, Failure, Job, Verdict};
 use crate::cut::Break;
 use crate::lending;
-use crate::life;
 use crate::node::Node;
 use crate::relay::Relay;
 use crate::reply::{Content, Reason, Refusal};
+use crate::shutdown;
 use crate::state::{Claim, State, Wish};
 use crate::tell;
 
@@ -91,7 +91,7 @@
         refusal
     };
     let admitted = admission::admit(node, &head, &call).map_err(refused)?;
-    if life::refuses_requests(node, admitted.route.kind.streams()) {
+    if shutdown::refuses_requests(node, admitted.route.kind.streams()) {
         return Err(refused(
             Refusal::new(Reason::Leaving).with_retry_after(LEAVING_RETURN),
         ));
--- a/crates/path/src/lib.rs
+++ b/crates/path/src/lib.rs
@@ -23,7 +23,7 @@
 //! - [`overload`]: detection of overload.
 //! - [`targets`]: the list of targets, and the effects of its changes.
 //! - [`clock`], [`wake`]: time including suspensions, and what follows a suspension.
-//! - [`life`]: signal handling and graceful shutdown.
+//! - [`shutdown`]: signal handling and graceful shutdown.
 //! - [`flags`]: command-line flags.
 //! - [`journal`], [`metrics`]: logs and metrics.
 
@@ -43,7 +43,6 @@
 pub mod lease;
 mod leaving;
 mod lending;
-pub mod life;
 pub mod metrics;
 pub mod node;
 pub mod outbound;
@@ -58,6 +57,7 @@
 pub mod reply;
 pub mod server;
 pub mod settings;
+pub mod shutdown;
 pub mod state;
 pub mod targets;
 pub mod tell;
--- a/crates/path/src/server.rs
+++ b/crates/path/src/server.rs
@@ -17,9 +17,9 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
 use crate::exchange;
-use crate::life;
 use crate::node::Node;
 use crate::pool;
+use crate::shutdown;
 
 /// Connections that may wait to be accepted.
 const BACKLOG: u32 = 1_024;
@@ -112,7 +112,7 @@
     tokio::select! {
         // An answer that broke off has been told by its request.
         _ = connection.as_mut() => return,
-        () = life::idle_close(&node) => connection.as_mut().graceful_shutdown(),
+        () = shutdown::idle_close(&node) => connection.as_mut().graceful_shutdown(),
     }
     drop(connection.await);
     drop(open);
