--- a/crates/path/src/evacuation.rs
+++ b/crates/path/src/evacuation.rs
@@ -21,7 +21,7 @@
                 self.metrics.add("store_restored", source, 1);
                 let line = self.journal.line("store_restored").with("era", era);
                 drop(line.with("source", source));
-                gossip::spread(self);
+                gossip::push_views(self);
             }
         }
         observation != Observation::Stale
@@ -81,7 +81,7 @@
             drop(line.with("source", source));
         }
         if !changes.is_empty() {
-            gossip::spread(self);
+            gossip::push_views(self);
             self.room_came();
         }
     }
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -101,7 +101,7 @@
 }
 
 /// Sends this router's views to a few others at once.
-pub fn spread(node: &Node) {
+pub fn push_views(node: &Node) {
     let (peers, packet) = {
         let mut state = node.state.borrow_mut();
         let peers = state.membership.sample(FANOUT);
@@ -155,7 +155,7 @@
         view::fetch(node, sender.address, comparison.wanted);
     }
     if comparison.fresher {
-        spread(node);
+        push_views(node);
     }
 }
 
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -197,7 +197,7 @@
         let now = self.now();
         self.leaving.send_replace(Some(now));
         self.state.borrow_mut().leave();
-        gossip::spread(self);
+        gossip::push_views(self);
     }
 
     pub(crate) fn watch_leaving(&self) -> watch::Receiver<Option<Duration>> {
@@ -244,7 +244,7 @@
                 .with("source", source),
         );
         self.metrics.add("configurations", source, 1);
-        gossip::spread(self);
+        gossip::push_views(self);
         self.room_came();
     }
 
--- a/crates/path/src/quarantine.rs
+++ b/crates/path/src/quarantine.rs
@@ -88,7 +88,7 @@
     drop(line.with("quarantined", quarantined));
     // A first termination is not shared: only the owner of the target's cell needs it.
     if !matches!(change, Change::EndRecorded(ends) if ends < SUSPECT_ENDS) {
-        gossip::spread(node);
+        gossip::push_views(node);
     }
 }
 
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -81,7 +81,7 @@
     /// targets and has waiting requests placed again.
     fn after_update(&self, changed: bool, source: &str) {
         if source == STORE || changed {
-            gossip::spread(self);
+            gossip::push_views(self);
         }
         if changed {
             self.pool.trim(self.now(), |tag| self.is_removed(tag));
