--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -18,7 +18,7 @@
 
 impl Node {
     /// Applies a complete list of targets.
-    pub fn take_targets(&self, list: List, source: &str) {
+    pub fn apply_targets(&self, list: List, source: &str) {
         let as_of = list.as_of;
         let (first, changes) = {
             let mut state = self.state.borrow_mut();
@@ -68,7 +68,7 @@
                 reading: Some(update.reading),
                 position: update.position,
             };
-            self.take_targets(list, PEER);
+            self.apply_targets(list, PEER);
             return;
         }
         let changes = self.state.borrow_mut().take_told(update);
