--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -46,7 +46,7 @@
     }
 
     /// Applies what was written to the store's log after the known list, up to `end`.
-    pub fn take_targets_delta(&self, delta: Delta, end: Position, as_of: Duration) {
+    pub fn apply_targets_delta(&self, delta: Delta, end: Position, as_of: Duration) {
         let changes = self.state.borrow_mut().take_delta(delta, end, as_of);
         let Some(changes) = changes else {
             return;
