--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -56,7 +56,7 @@
     }
 
     /// Applies the entries of a peer's list that this router's list lacks.
-    pub(crate) fn take_targets_told(&self, update: Told) {
+    pub(crate) fn apply_peer_targets(&self, update: Told) {
         let as_of = update.as_of;
         let first = self.targets_at().is_none();
         if first {
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -215,7 +215,7 @@
             position: targets.position,
             as_of,
         };
-        node.take_targets_told(update);
+        node.apply_peer_targets(update);
     }
 }
 
