--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -173,7 +173,7 @@
 
     /// Number of known targets.
     #[must_use]
-    pub fn targets_known(&self) -> usize {
+    pub fn target_count(&self) -> usize {
         self.state.borrow().registry.targets().count()
     }
 
