--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -201,7 +201,7 @@
     }
 
     /// Discards the log position, as the store no longer has the records after it.
-    pub fn forget_targets_position(&self) {
+    pub fn clear_targets_position(&self) {
         self.state.borrow_mut().registry_position = None;
     }
 
