--- a/crates/path/src/cache_polling.rs
+++ b/crates/path/src/cache_polling.rs
@@ -260,7 +260,7 @@
             }
             Ordering::Greater => {
                 self.metrics.add("memory_questions", "later_start", 1);
-                self.superseded(engine, reported);
+                self.supersede_target(engine, reported);
                 false
             }
         }
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -142,7 +142,7 @@
 
     /// Handles a target's report that it restarted at `born`: the state of earlier incarnations is
     /// discarded. The target receives requests again as soon as it is listed.
-    pub(crate) fn superseded(&self, target: &Target, born: u64) {
+    pub(crate) fn supersede_target(&self, target: &Target, born: u64) {
         let now = self.now();
         let change = self
             .state
