--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -307,7 +307,7 @@
     let answer = node.dialect.answer(head);
     tell::said(node, job, lease, head.status, &answer);
     if head.status == StatusCode::MISDIRECTED_REQUEST {
-        node.replaced(&lease.target);
+        node.remove_replaced_target(&lease.target);
         lease.not_run();
         return Err(Failure::new(Verdict::NotRun, "misdirected"));
     }
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -206,7 +206,7 @@
     }
 
     /// Removes a target whose address is now used by another one.
-    pub fn replaced(&self, target: &Target) {
+    pub fn remove_replaced_target(&self, target: &Target) {
         self.state
             .borrow_mut()
             .registry
