--- a/crates/path/src/evacuation.rs
+++ b/crates/path/src/evacuation.rs
@@ -11,9 +11,9 @@
     /// Records the era named by an answer of the store or by a peer; returns `false` if it is an
     /// earlier one, so that a late answer of the store must not be used.
     #[must_use]
-    pub fn see_era(&self, era: u64, source: &str) -> bool {
+    pub fn observe_era(&self, era: u64, source: &str) -> bool {
         let now = self.now();
-        let observation = self.state.borrow_mut().see_era(era, now);
+        let observation = self.state.borrow_mut().observe_era(era, now);
         match observation {
             Observation::Current => {}
             Observation::Stale => self.metrics.add("store_stale", source, 1),
@@ -47,7 +47,7 @@
         for order in orders.iter().filter(|it| it.evacuated) {
             // An order of an earlier era shows that the store has been restored since, perhaps just
             // now.
-            self.state.borrow_mut().see_era(order.at.era, now);
+            self.state.borrow_mut().observe_era(order.at.era, now);
         }
         self.change_evacuations(source, |it| {
             orders
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -147,7 +147,7 @@
     if let Some(era) = views.era {
         // Views of a peer that knows only an earlier era are used all the same: they are older than
         // those known here, and are ordered accordingly.
-        let _ = node.see_era(era, "peer");
+        let _ = node.observe_era(era, "peer");
     }
     leaving::compare(node, sender.address, views.leaving);
     let comparison = compare(node, views, now);
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -343,7 +343,7 @@
     }
 
     /// The store, or a peer, names an era.
-    pub(crate) fn see_era(&mut self, era: u64, now: Duration) -> Observation {
+    pub(crate) fn observe_era(&mut self, era: u64, now: Duration) -> Observation {
         let sight = self.store.observe(era, now);
         if sight == Observation::Restored {
             self.registry.record_restore(now);
