--- a/crates/path/src/evacuation.rs
+++ b/crates/path/src/evacuation.rs
@@ -42,7 +42,7 @@
     }
 
     /// Applies orders from the operators' topic or from a peer.
-    pub fn take_evacuations(&self, orders: Vec<Order>, source: &str) {
+    pub fn apply_evacuations(&self, orders: Vec<Order>, source: &str) {
         let now = self.now();
         for order in orders.iter().filter(|it| it.evacuated) {
             // An order of an earlier era shows that the store has been restored since, perhaps just
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -180,7 +180,7 @@
 fn apply(node: &Rc<Node>, view: Response) {
     // Before the configuration, as a router starts to serve once it has one.
     if let Some(orders) = view.evacuations {
-        node.take_evacuations(orders, "peer");
+        node.apply_evacuations(orders, "peer");
     }
     if let Some(configuration) = view.configuration {
         node.take_configuration(configuration, "peer");
