--- a/crates/path/src/evacuation.rs
+++ b/crates/path/src/evacuation.rs
@@ -58,7 +58,7 @@
     }
 
     /// Applies the complete list of the store's orders, which ended at `end`.
-    pub fn take_evacuation_list(&self, listed: Vec<Order>, end: Position, source: &str) {
+    pub fn apply_evacuation_list(&self, listed: Vec<Order>, end: Position, source: &str) {
         let now = self.now();
         let era = self.state.borrow().store;
         self.change_evacuations(source, |it| it.apply_list(listed, end, &era, now));
