--- a/crates/path/src/quarantine.rs
+++ b/crates/path/src/quarantine.rs
@@ -94,7 +94,7 @@
 
 impl Node {
     /// Merges the entries of another router or the store.
-    pub fn take_quarantine(&self, entries: &[Entry]) {
+    pub fn merge_quarantine(&self, entries: &[Entry]) {
         self.state.borrow_mut().quarantine_known = true;
         for entry in entries {
             let change = self.state.borrow_mut().quarantine.merge(entry, self.now());
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -190,7 +190,7 @@
         }
     }
     if let Some(entries) = view.quarantine {
-        node.take_quarantine(&entries);
+        node.merge_quarantine(&entries);
     }
     if let Some(targets) = view.targets {
         let now = node.now();
