--- a/crates/path/src/quarantine.rs
+++ b/crates/path/src/quarantine.rs
@@ -151,7 +151,7 @@
     }
 
     /// The next entry to be written to the store, or to be deleted if it has no terminations.
-    pub async fn next_unwritten(&self) -> Entry {
+    pub async fn next_quarantine_write(&self) -> Entry {
         let mut unwritten = self.unwritten.receiver.lock().await;
         match unwritten.recv().await {
             Some(entry) => entry,
