--- a/crates/path/src/quarantine.rs
+++ b/crates/path/src/quarantine.rs
@@ -162,7 +162,7 @@
 
     /// Entries that are missing from the store, which holds `stored`.
     #[must_use]
-    pub fn unkept_quarantine(&self, stored: &[Entry]) -> Vec<Entry> {
+    pub fn missing_quarantine(&self, stored: &[Entry]) -> Vec<Entry> {
         let state = self.state.borrow();
         state.quarantine.missing_from(stored, self.now())
     }
