--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -118,7 +118,7 @@
 /// The refusal of a content under which targets have ended, or may have: it would end the next one.
 /// Its caller learns after what time it may be tried again.
 pub(crate) fn unsafe_to_send(node: &Rc<Node>, job: &Job) -> Option<Refusal> {
-    match node.standing_of(job.content) {
+    match node.content_status(job.content) {
         Status::Free | Status::Suspect => None,
         Status::Held => {
             Some(Refusal::new(Reason::Suspected).with_retry_after(quarantine::OPEN_TIMEOUT))
--- a/crates/path/src/quarantine.rs
+++ b/crates/path/src/quarantine.rs
@@ -113,7 +113,7 @@
     /// Lifts a quarantine on behalf of an operator; returns `false` if nothing is recorded against
     /// the content.
     pub(crate) fn lift(&self, content: Digest) -> bool {
-        if self.standing_of(content) == Status::Free {
+        if self.content_status(content) == Status::Free {
             return false;
         }
         let line = self.journal.line("quarantine_lifted");
@@ -169,7 +169,7 @@
 
     /// Restrictions on sending a content.
     #[must_use]
-    pub(crate) fn standing_of(&self, content: Digest) -> Status {
+    pub(crate) fn content_status(&self, content: Digest) -> Status {
         let state = self.state.borrow();
         state.quarantine.status(content, self.now())
     }
