--- a/crates/path/src/quarantine.rs
+++ b/crates/path/src/quarantine.rs
@@ -112,7 +112,7 @@
 
     /// Lifts a quarantine on behalf of an operator; returns `false` if nothing is recorded against
     /// the content.
-    pub(crate) fn lift(&self, content: Digest) -> bool {
+    pub(crate) fn lift_quarantine(&self, content: Digest) -> bool {
         if self.content_status(content) == Status::Free {
             return false;
         }
@@ -123,7 +123,7 @@
     }
 
     /// Contents with recorded terminations, for operators: one JSON object per line.
-    pub(crate) fn quarantined(&self) -> String {
+    pub(crate) fn quarantine_listing(&self) -> String {
         let now = self.now();
         let state = self.state.borrow();
         let entries = state.quarantine.entries(now);
--- a/crates/path/src/server.rs
+++ b/crates/path/src/server.rs
@@ -183,10 +183,10 @@
     };
     let content = content.trim_start_matches('/');
     match (request.method(), content) {
-        (&Method::GET, "") => Ok(node.quarantined()),
+        (&Method::GET, "") => Ok(node.quarantine_listing()),
         (&Method::DELETE, content) => {
             let content = Digest::parse(content).ok_or(StatusCode::BAD_REQUEST)?;
-            let lifted = node.lift(content);
+            let lifted = node.lift_quarantine(content);
             let lifted = lifted.then(String::new);
             lifted.ok_or(StatusCode::NOT_FOUND)
         }
