--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -177,14 +177,14 @@
     // none.
     let differs = views.quarantine.is_some_and(|it| it != own && it != 0);
     state.quarantine_known |= views.quarantine.is_some() && !differs;
-    let quarantine = differs && node.fetching.quarantine.is_due(now);
+    let quarantine = differs && node.fetches.quarantine.is_due(now);
     comparison.wanted = comparison.wanted.with(Kind::Quarantine, quarantine);
     let fresher = |at: Duration, known: Option<Duration>| {
         known.is_some_and(|known| at >= known + MIN_ANNOUNCED_GAIN)
     };
     let differs = views.evacuations != state.evacuations.digest();
     let unknown = differs && views.evacuations != 0;
-    let evacuations = unknown && node.fetching.evacuations.is_due(now);
+    let evacuations = unknown && node.fetches.evacuations.is_due(now);
     comparison.wanted = comparison.wanted.with(Kind::Evacuations, evacuations);
     let version = state.table.as_ref().map_or(0, |it| it.version());
     let known = (1..=version).contains(&views.configuration);
--- a/crates/path/src/quarantine.rs
+++ b/crates/path/src/quarantine.rs
@@ -64,7 +64,7 @@
     let Some(entry) = entry.filter(|_| !matches!(change, Change::EndRecorded(_))) else {
         return;
     };
-    if node.unwritten.sender.send(entry).is_err() {
+    if node.quarantine_writes.sender.send(entry).is_err() {
         // The receiver lives as long as the router.
         node.metrics.add("contents", "not_written", 1);
     }
@@ -152,8 +152,8 @@
 
     /// The next entry to be written to the store, or to be deleted if it has no terminations.
     pub async fn next_quarantine_write(&self) -> Entry {
-        let mut unwritten = self.unwritten.receiver.lock().await;
-        match unwritten.recv().await {
+        let mut quarantine_writes = self.quarantine_writes.receiver.lock().await;
+        match quarantine_writes.recv().await {
             Some(entry) => entry,
             // The sender lives as long as the router.
             None => std::future::pending().await,
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -148,14 +148,14 @@
 
 /// Fetches the `wanted` views from a peer, unless another fetch is running.
 pub fn fetch(node: &Rc<Node>, address: SocketAddr, wanted: Selection) {
-    if node.fetching.busy.replace(true) {
+    if node.fetches.busy.replace(true) {
         return;
     }
     if wanted.contains(Kind::Quarantine) {
-        node.fetching.quarantine.0.set(Some(node.now()));
+        node.fetches.quarantine.0.set(Some(node.now()));
     }
     if wanted.contains(Kind::Evacuations) {
-        node.fetching.evacuations.0.set(Some(node.now()));
+        node.fetches.evacuations.0.set(Some(node.now()));
     }
     let node = node.clone();
     tokio::task::spawn_local(async move {
@@ -173,7 +173,7 @@
             let line = node.journal.line("view_not_fetched");
             drop(line.with("peer", address.to_string()).with("error", error));
         }
-        node.fetching.busy.set(false);
+        node.fetches.busy.set(false);
     });
 }
 
