--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -132,7 +132,7 @@
             && let Some(run) = self.run.take()
         {
             node.state.borrow_mut().answered.record(run.content);
-            quarantine::answered(&node, run.content.tag());
+            quarantine::record_answer(&node, run.content.tag());
         }
     }
 
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -98,7 +98,7 @@
     if let Some(outcome) = returned.outcome {
         node.note_reported(returned.tag, outcome);
         if let Some(content) = returned.content.filter(|_| outcome == Outcome::Good) {
-            quarantine::answered(node, content);
+            quarantine::record_answer(node, content);
         }
     }
     node.room_came();
--- a/crates/path/src/quarantine.rs
+++ b/crates/path/src/quarantine.rs
@@ -42,7 +42,7 @@
 }
 
 /// Records that a content was answered.
-pub(crate) fn answered(node: &Node, content: ContentTag) {
+pub(crate) fn record_answer(node: &Node, content: ContentTag) {
     let now = node.now();
     let (digest, change) = {
         let mut state = node.state.borrow_mut();
@@ -118,7 +118,7 @@
         }
         let line = self.journal.line("quarantine_lifted");
         drop(line.with("content", content.to_string()));
-        answered(self, content.tag());
+        record_answer(self, content.tag());
         true
     }
 
