--- a/crates/path/src/clock.rs
+++ b/crates/path/src/clock.rs
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Time since the start, including all suspensions found by [`suspended`](Self::suspended).
+    /// Time since the start, including all suspensions found by [`measure_suspended`](Self::measure_suspended).
     #[must_use]
     pub fn now(&self) -> Duration {
         self.started_at.elapsed() + self.suspended.get()
@@ -85,7 +85,7 @@
     /// [`now`](Self::now) does not measure it, because a request reads the clock some dozens of
     /// times.
     #[must_use]
-    pub fn suspended(&self) -> Duration {
+    pub fn measure_suspended(&self) -> Duration {
         let suspended = match &self.source {
             Source::System { initial_difference } => {
                 let boot_time = read(ClockId::Boottime);
--- a/crates/path/src/wake.rs
+++ b/crates/path/src/wake.rs
@@ -53,7 +53,7 @@
 impl Node {
     /// Notices a suspension, if there was one.
     pub(crate) fn look_for_wake(&self) {
-        let suspended = self.clock.suspended();
+        let suspended = self.clock.measure_suspended();
         let time = suspended.saturating_sub(self.wake.noticed.get());
         if time < LEAST {
             return;
