--- a/crates/path/src/journal.rs
+++ b/crates/path/src/journal.rs
@@ -91,7 +91,7 @@
     /// # Errors
     ///
     /// If the descriptor doesn't allow it; writing lines may then block.
-    pub fn unblock(&self) -> std::io::Result<()> {
+    pub fn set_nonblocking(&self) -> std::io::Result<()> {
         use rustix::fs::{OFlags, fcntl_getfl, fcntl_setfl};
         let stdout = rustix::stdio::stdout();
         let flags = fcntl_getfl(stdout)?;
