--- a/crates/path/src/flags.rs
+++ b/crates/path/src/flags.rs
@@ -22,7 +22,7 @@
     /// Parameters of the queue.
     pub patience: Patience,
     /// Interval between heartbeats to peers.
-    pub report_interval: Duration,
+    pub heartbeat_interval: Duration,
     /// Approximate number of targets per cell.
     pub cell_targets: usize,
     /// Interval between two queries to an engine's cache; zero disables them.
@@ -242,7 +242,7 @@
             over_share: value("over-share"),
             again: value("again"),
         },
-        report_interval: Duration::from_secs_f64(value("report-ms") / 1_000.0),
+        heartbeat_interval: Duration::from_secs_f64(value("report-ms") / 1_000.0),
         cell_targets: round(value("cell-targets")),
         memory_interval: Duration::from_secs_f64(value("memory-ms") / 1_000.0),
     })
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -50,7 +50,7 @@
 
 /// Sends heartbeats for as long as the router runs.
 pub async fn run(node: Rc<Node>) {
-    let mut timer = tokio::time::interval(node.settings.report_interval);
+    let mut timer = tokio::time::interval(node.settings.heartbeat_interval);
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         let late = timer.tick().await.elapsed();
--- a/crates/path/src/settings.rs
+++ b/crates/path/src/settings.rs
@@ -40,7 +40,7 @@
     /// Limit of requests to cold targets.
     pub cold: ColdBound,
     /// Interval between heartbeats to peers.
-    pub report_interval: Duration,
+    pub heartbeat_interval: Duration,
     /// This router's processor, in thousandths of a core.
     pub millicores: u32,
     /// Approximate number of targets per cell.
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -74,7 +74,7 @@
         grace: Duration::from_secs(8),
         policy: Policy::default(),
         patience: Patience::default(),
-        report_interval: Duration::from_millis(100),
+        heartbeat_interval: Duration::from_millis(100),
         millicores: 500,
         cell_targets: 48,
         memory_interval: Duration::ZERO,
