--- a/crates/path/src/cache_polling.rs
+++ b/crates/path/src/cache_polling.rs
@@ -83,7 +83,7 @@
 
 /// Polls engines for as long as the router runs.
 pub async fn run(node: Rc<Node>) {
-    let interval = node.settings.memory_interval;
+    let interval = node.settings.cache_poll_interval;
     if interval.is_zero() {
         return;
     }
--- a/crates/path/src/flags.rs
+++ b/crates/path/src/flags.rs
@@ -26,7 +26,7 @@
     /// Approximate number of targets per cell.
     pub cell_targets: usize,
     /// Interval between two queries to an engine's cache; zero disables them.
-    pub memory_interval: Duration,
+    pub cache_poll_interval: Duration,
 }
 
 #[derive(Clone, Copy)]
@@ -244,7 +244,7 @@
         },
         heartbeat_interval: Duration::from_secs_f64(value("report-ms") / 1_000.0),
         cell_targets: round(value("cell-targets")),
-        memory_interval: Duration::from_secs_f64(value("memory-ms") / 1_000.0),
+        cache_poll_interval: Duration::from_secs_f64(value("memory-ms") / 1_000.0),
     })
 }
 
--- a/crates/path/src/settings.rs
+++ b/crates/path/src/settings.rs
@@ -46,7 +46,7 @@
     /// Approximate number of targets per cell.
     pub cell_targets: usize,
     /// Interval between two queries to an engine's cache; zero disables them.
-    pub memory_interval: Duration,
+    pub cache_poll_interval: Duration,
 }
 
 /// Limit of the requests that a cold target receives in one second, relative to its rated
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -77,7 +77,7 @@
         heartbeat_interval: Duration::from_millis(100),
         millicores: 500,
         cell_targets: 48,
-        memory_interval: Duration::ZERO,
+        cache_poll_interval: Duration::ZERO,
     }
 }
 
