--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -285,7 +285,7 @@
     let part = if job.returning {
         patience.returning
     } else {
-        patience.first
+        patience.first_wait
     };
     let until = node.now() + job.route.objective.mul_f64(part);
     until.min(job.deadline)
--- a/crates/path/src/flags.rs
+++ b/crates/path/src/flags.rs
@@ -110,7 +110,7 @@
             "wait-first",
             "Wait of a first attempt, as a fraction of the objective",
             5.0,
-            patience.first,
+            patience.first_wait,
         ),
         parameter(
             "wait-returning",
@@ -235,7 +235,7 @@
             plain_requests_per_slot: value("plain-queue"),
         },
         patience: Patience {
-            first: value("wait-first"),
+            first_wait: value("wait-first"),
             returning: value("wait-returning"),
             miss: value("wait-miss"),
             come_back: value("come-back"),
--- a/crates/path/src/settings.rs
+++ b/crates/path/src/settings.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Patience {
     /// Wait of a first attempt, as a fraction of its objective.
-    pub first: f64,
+    pub first_wait: f64,
     /// Wait of a retry, as a fraction of its objective.
     pub returning: f64,
     /// Wait before a request may be placed where its prefix is not cached, as a fraction of its
@@ -83,7 +83,7 @@
             // Time spent in this queue is lost at the engine, where a prompt is queued again. With
             // 0.06 instead of 0.2, clients got 0.853 of the worth that they asked for instead of
             // 0.838 (mean of five days of high load and faults).
-            first: 0.06,
+            first_wait: 0.06,
             miss: 0.04,
             returning: 0.06,
             come_back: 1.0,
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -298,7 +298,7 @@
         };
         self.requests.insert(number, request);
         self.plan(now + LINK, Event::Put(number));
-        let patience = OBJECTIVE.mul_f64(self.settings.patience.first);
+        let patience = OBJECTIVE.mul_f64(self.settings.patience.first_wait);
         self.plan(now + patience, Event::GivenUp(number));
     }
 
@@ -448,7 +448,7 @@
         counted: false,
         failed: false,
         avoid: Vec::new(),
-        until: arrived + OBJECTIVE.mul_f64(Patience::default().first),
+        until: arrived + OBJECTIVE.mul_f64(Patience::default().first_wait),
         claim: Claim::All,
         draw,
     }
