--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -283,7 +283,7 @@
 pub(crate) fn give_up_at(node: &Rc<Node>, job: &Job) -> Duration {
     let patience = &node.settings.patience;
     let part = if job.returning {
-        patience.returning
+        patience.retry_wait
     } else {
         patience.first_wait
     };
--- a/crates/path/src/flags.rs
+++ b/crates/path/src/flags.rs
@@ -116,7 +116,7 @@
             "wait-returning",
             "Wait of a retry, as a fraction of the objective",
             5.0,
-            patience.returning,
+            patience.retry_wait,
         ),
         parameter(
             "wait-miss",
@@ -236,7 +236,7 @@
         },
         patience: Patience {
             first_wait: value("wait-first"),
-            returning: value("wait-returning"),
+            retry_wait: value("wait-returning"),
             miss: value("wait-miss"),
             come_back: value("come-back"),
             over_share: value("over-share"),
--- a/crates/path/src/settings.rs
+++ b/crates/path/src/settings.rs
@@ -65,7 +65,7 @@
     /// Wait of a first attempt, as a fraction of its objective.
     pub first_wait: f64,
     /// Wait of a retry, as a fraction of its objective.
-    pub returning: f64,
+    pub retry_wait: f64,
     /// Wait before a request may be placed where its prefix is not cached, as a fraction of its
     /// objective.
     pub miss: f64,
@@ -85,7 +85,7 @@
             // 0.838 (mean of five days of high load and faults).
             first_wait: 0.06,
             miss: 0.04,
-            returning: 0.06,
+            retry_wait: 0.06,
             come_back: 1.0,
             over_share: 0.8,
             again: 0.2,
