--- a/crates/path/src/flags.rs
+++ b/crates/path/src/flags.rs
@@ -122,7 +122,7 @@
             "wait-miss",
             "Wait before a prefix is recomputed, as a fraction of the objective",
             5.0,
-            patience.miss,
+            patience.miss_delay,
         ),
         parameter(
             "come-back",
@@ -237,7 +237,7 @@
         patience: Patience {
             first_wait: value("wait-first"),
             retry_wait: value("wait-returning"),
-            miss: value("wait-miss"),
+            miss_delay: value("wait-miss"),
             come_back: value("come-back"),
             over_share: value("over-share"),
             again: value("again"),
--- a/crates/path/src/settings.rs
+++ b/crates/path/src/settings.rs
@@ -68,7 +68,7 @@
     pub retry_wait: f64,
     /// Wait before a request may be placed where its prefix is not cached, as a fraction of its
     /// objective.
-    pub miss: f64,
+    pub miss_delay: f64,
     /// Delay after which a refused client may retry, as a fraction of its objective.
     pub come_back: f64,
     /// Fraction of the capacity that is available to a request beyond its customer's share.
@@ -84,7 +84,7 @@
             // 0.06 instead of 0.2, clients got 0.853 of the worth that they asked for instead of
             // 0.838 (mean of five days of high load and faults).
             first_wait: 0.06,
-            miss: 0.04,
+            miss_delay: 0.04,
             retry_wait: 0.06,
             come_back: 1.0,
             over_share: 0.8,
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -150,7 +150,7 @@
             // asked for, and 0.895 without these (mean of five days of high load).
             allow_fetch: cover >= 1.0,
             waited: now.saturating_sub(wish.arrived),
-            allow_miss: now >= wish.arrived + wish.objective.mul_f64(settings.patience.miss),
+            allow_miss: now >= wish.arrived + wish.objective.mul_f64(settings.patience.miss_delay),
             capacity_share: self.room(settings, wish, cover),
             // Who has had little of its share is not bound to the targets that keep its
             // prefix, where others may have taken all room.
