--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -333,7 +333,7 @@
     if !unavailable || refusal.retry_after.is_some() {
         return refusal;
     }
-    let part = node.settings.patience.come_back;
+    let part = node.settings.patience.retry_delay;
     refusal.with_retry_after(job.route.objective.mul_f64(part))
 }
 
--- a/crates/path/src/flags.rs
+++ b/crates/path/src/flags.rs
@@ -128,7 +128,7 @@
             "come-back",
             "Delay before a refused client retries, as a fraction of the objective",
             5.0,
-            patience.come_back,
+            patience.retry_delay,
         ),
         parameter(
             "over-share",
@@ -238,7 +238,7 @@
             first_wait: value("wait-first"),
             retry_wait: value("wait-returning"),
             miss_delay: value("wait-miss"),
-            come_back: value("come-back"),
+            retry_delay: value("come-back"),
             over_share: value("over-share"),
             again: value("again"),
         },
--- a/crates/path/src/settings.rs
+++ b/crates/path/src/settings.rs
@@ -70,7 +70,7 @@
     /// objective.
     pub miss_delay: f64,
     /// Delay after which a refused client may retry, as a fraction of its objective.
-    pub come_back: f64,
+    pub retry_delay: f64,
     /// Fraction of the capacity that is available to a request beyond its customer's share.
     pub over_share: f64,
     /// Fraction of that capacity that is available to a retry, which is late.
@@ -86,7 +86,7 @@
             first_wait: 0.06,
             miss_delay: 0.04,
             retry_wait: 0.06,
-            come_back: 1.0,
+            retry_delay: 1.0,
             over_share: 0.8,
             again: 0.2,
         }
