--- a/crates/path/src/flags.rs
+++ b/crates/path/src/flags.rs
@@ -134,7 +134,7 @@
             "over-share",
             "Fraction of the capacity for requests beyond a share",
             1.0,
-            patience.over_share,
+            patience.over_share_capacity,
         ),
         parameter(
             "again",
@@ -239,7 +239,7 @@
             retry_wait: value("wait-returning"),
             miss_delay: value("wait-miss"),
             retry_delay: value("come-back"),
-            over_share: value("over-share"),
+            over_share_capacity: value("over-share"),
             again: value("again"),
         },
         heartbeat_interval: Duration::from_secs_f64(value("report-ms") / 1_000.0),
--- a/crates/path/src/settings.rs
+++ b/crates/path/src/settings.rs
@@ -72,7 +72,7 @@
     /// Delay after which a refused client may retry, as a fraction of its objective.
     pub retry_delay: f64,
     /// Fraction of the capacity that is available to a request beyond its customer's share.
-    pub over_share: f64,
+    pub over_share_capacity: f64,
     /// Fraction of that capacity that is available to a retry, which is late.
     pub again: f64,
 }
@@ -87,7 +87,7 @@
             miss_delay: 0.04,
             retry_wait: 0.06,
             retry_delay: 1.0,
-            over_share: 0.8,
+            over_share_capacity: 0.8,
             again: 0.2,
         }
     }
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -169,12 +169,12 @@
         let share = match (cover < 1.0, wish.returning) {
             (false, _) => 1.0,
             // Squared, as what is left at full targets goes to whoever asks most often.
-            (true, false) => patience.over_share * cover * cover,
+            (true, false) => patience.over_share_capacity * cover * cover,
             // Beyond a share new callers, who can still be answered in time, use up all that the
             // share allows. With the same room for both, 36 in 100 of the requests that ran for a
             // flooding customer were late before they began; all callers got 0.859 of the worth
             // they asked for, and 0.888 with a fifth of it (mean of five days of high load).
-            (true, true) => patience.over_share * cover * cover * patience.again,
+            (true, true) => patience.over_share_capacity * cover * cover * patience.again,
         };
         #[expect(clippy::cast_precision_loss, reason = "a few hundred routers")]
         let claimed = match wish.claim {
