--- a/crates/path/src/settings.rs
+++ b/crates/path/src/settings.rs
@@ -74,7 +74,7 @@
     /// Fraction of the capacity that is available to a request beyond its customer's share.
     pub over_share_capacity: f64,
     /// Fraction of that capacity that is available to a retry, which is late.
-    pub again: f64,
+    pub over_share_retry_capacity: f64,
 }
 
 impl Default for Patience {
@@ -88,7 +88,7 @@
             retry_wait: 0.06,
             retry_delay: 1.0,
             over_share_capacity: 0.8,
-            again: 0.2,
+            over_share_retry_capacity: 0.2,
         }
     }
 }
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -174,7 +174,9 @@
             // share allows. With the same room for both, 36 in 100 of the requests that ran for a
             // flooding customer were late before they began; all callers got 0.859 of the worth
             // they asked for, and 0.888 with a fifth of it (mean of five days of high load).
-            (true, true) => patience.over_share_capacity * cover * cover * patience.again,
+            (true, true) => {
+                patience.over_share_capacity * cover * cover * patience.over_share_retry_capacity
+            }
         };
         #[expect(clippy::cast_precision_loss, reason = "a few hundred routers")]
         let claimed = match wish.claim {
