--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -281,11 +281,11 @@
 /// How long this try to place a request may last. It counts from now and not from the arrival, as a
 /// second try comes after a target has had the request for longer than that.
 pub(crate) fn give_up_at(node: &Rc<Node>, job: &Job) -> Duration {
-    let patience = &node.settings.patience;
+    let queue_policy = &node.settings.queue_policy;
     let part = if job.returning {
-        patience.retry_wait
+        queue_policy.retry_wait
     } else {
-        patience.first_wait
+        queue_policy.first_wait
     };
     let until = node.now() + job.route.objective.mul_f64(part);
     until.min(job.deadline)
@@ -333,7 +333,7 @@
     if !unavailable || refusal.retry_after.is_some() {
         return refusal;
     }
-    let part = node.settings.patience.retry_delay;
+    let part = node.settings.queue_policy.retry_delay;
     refusal.with_retry_after(job.route.objective.mul_f64(part))
 }
 
--- a/crates/path/src/flags.rs
+++ b/crates/path/src/flags.rs
@@ -20,7 +20,7 @@
     /// Parameters of the choice of targets.
     pub policy: Policy,
     /// Parameters of the queue.
-    pub patience: Patience,
+    pub queue_policy: Patience,
     /// Interval between heartbeats to peers.
     pub heartbeat_interval: Duration,
     /// Approximate number of targets per cell.
@@ -104,43 +104,43 @@
 }
 
 fn queue_parameters() -> [Parameter; 6] {
-    let patience = Patience::default();
+    let queue_policy = Patience::default();
     [
         parameter(
             "wait-first",
             "Wait of a first attempt, as a fraction of the objective",
             5.0,
-            patience.first_wait,
+            queue_policy.first_wait,
         ),
         parameter(
             "wait-returning",
             "Wait of a retry, as a fraction of the objective",
             5.0,
-            patience.retry_wait,
+            queue_policy.retry_wait,
         ),
         parameter(
             "wait-miss",
             "Wait before a prefix is recomputed, as a fraction of the objective",
             5.0,
-            patience.miss_delay,
+            queue_policy.miss_delay,
         ),
         parameter(
             "come-back",
             "Delay before a refused client retries, as a fraction of the objective",
             5.0,
-            patience.retry_delay,
+            queue_policy.retry_delay,
         ),
         parameter(
             "over-share",
             "Fraction of the capacity for requests beyond a share",
             1.0,
-            patience.over_share_capacity,
+            queue_policy.over_share_capacity,
         ),
         parameter(
             "again",
             "Fraction of that capacity for retries",
             1.0,
-            patience.over_share_retry_capacity,
+            queue_policy.over_share_retry_capacity,
         ),
     ]
 }
@@ -171,9 +171,12 @@
         10_000.0,
         DEFAULT_CACHE_POLL_MS,
     );
-    let patience = queue_parameters().into_iter();
-    let patience = patience.chain([interval, cell, cache_poll]);
-    placement_parameters().into_iter().chain(patience).collect()
+    let queue_policy = queue_parameters().into_iter();
+    let queue_policy = queue_policy.chain([interval, cell, cache_poll]);
+    placement_parameters()
+        .into_iter()
+        .chain(queue_policy)
+        .collect()
 }
 
 /// The environment variable of a flag.
@@ -234,7 +237,7 @@
             running_tokens: value("running"),
             plain_requests_per_slot: value("plain-queue"),
         },
-        patience: Patience {
+        queue_policy: Patience {
             first_wait: value("wait-first"),
             retry_wait: value("wait-returning"),
             miss_delay: value("wait-miss"),
--- a/crates/path/src/settings.rs
+++ b/crates/path/src/settings.rs
@@ -36,7 +36,7 @@
     /// Parameters of the choice of targets.
     pub policy: Policy,
     /// Parameters of the queue.
-    pub patience: Patience,
+    pub queue_policy: Patience,
     /// Limit of requests to cold targets.
     pub cold: ColdBound,
     /// Interval between heartbeats to peers.
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -150,7 +150,8 @@
             // asked for, and 0.895 without these (mean of five days of high load).
             allow_fetch: cover >= 1.0,
             waited: now.saturating_sub(wish.arrived),
-            allow_miss: now >= wish.arrived + wish.objective.mul_f64(settings.patience.miss_delay),
+            allow_miss: now
+                >= wish.arrived + wish.objective.mul_f64(settings.queue_policy.miss_delay),
             capacity_share: self.room(settings, wish, cover),
             // Who has had little of its share is not bound to the targets that keep its
             // prefix, where others may have taken all room.
@@ -165,17 +166,20 @@
 
     /// Part of all room that a request may use.
     fn room(&self, settings: &Settings, wish: &Wish, cover: f64) -> f64 {
-        let patience = &settings.patience;
+        let queue_policy = &settings.queue_policy;
         let share = match (cover < 1.0, wish.returning) {
             (false, _) => 1.0,
             // Squared, as what is left at full targets goes to whoever asks most often.
-            (true, false) => patience.over_share_capacity * cover * cover,
+            (true, false) => queue_policy.over_share_capacity * cover * cover,
             // Beyond a share new callers, who can still be answered in time, use up all that the
             // share allows. With the same room for both, 36 in 100 of the requests that ran for a
             // flooding customer were late before they began; all callers got 0.859 of the worth
             // they asked for, and 0.888 with a fifth of it (mean of five days of high load).
             (true, true) => {
-                patience.over_share_capacity * cover * cover * patience.over_share_retry_capacity
+                queue_policy.over_share_capacity
+                    * cover
+                    * cover
+                    * queue_policy.over_share_retry_capacity
             }
         };
         #[expect(clippy::cast_precision_loss, reason = "a few hundred routers")]
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -73,7 +73,7 @@
         share_window: Duration::from_secs(4),
         grace: Duration::from_secs(8),
         policy: Policy::default(),
-        patience: Patience::default(),
+        queue_policy: Patience::default(),
         heartbeat_interval: Duration::from_millis(100),
         millicores: 500,
         cell_targets: 48,
@@ -298,8 +298,8 @@
         };
         self.requests.insert(number, request);
         self.plan(now + LINK, Event::Put(number));
-        let patience = OBJECTIVE.mul_f64(self.settings.patience.first_wait);
-        self.plan(now + patience, Event::GivenUp(number));
+        let queue_policy = OBJECTIVE.mul_f64(self.settings.queue_policy.first_wait);
+        self.plan(now + queue_policy, Event::GivenUp(number));
     }
 
     fn put(&mut self, number: u64, now: Duration) {
