--- a/crates/path/src/flags.rs
+++ b/crates/path/src/flags.rs
@@ -12,7 +12,7 @@
 use dunlinward_dispatch::cell;
 use dunlinward_dispatch::placement::Policy;
 
-use crate::settings::Patience;
+use crate::settings::QueuePolicy;
 
 /// Parameters of the data path.
 #[derive(Clone, Copy, Debug)]
@@ -20,7 +20,7 @@
     /// Parameters of the choice of targets.
     pub policy: Policy,
     /// Parameters of the queue.
-    pub queue_policy: Patience,
+    pub queue_policy: QueuePolicy,
     /// Interval between heartbeats to peers.
     pub heartbeat_interval: Duration,
     /// Approximate number of targets per cell.
@@ -104,7 +104,7 @@
 }
 
 fn queue_parameters() -> [Parameter; 6] {
-    let queue_policy = Patience::default();
+    let queue_policy = QueuePolicy::default();
     [
         parameter(
             "wait-first",
@@ -237,7 +237,7 @@
             running_tokens: value("running"),
             plain_requests_per_slot: value("plain-queue"),
         },
-        queue_policy: Patience {
+        queue_policy: QueuePolicy {
             first_wait: value("wait-first"),
             retry_wait: value("wait-returning"),
             miss_delay: value("wait-miss"),
--- a/crates/path/src/settings.rs
+++ b/crates/path/src/settings.rs
@@ -36,7 +36,7 @@
     /// Parameters of the choice of targets.
     pub policy: Policy,
     /// Parameters of the queue.
-    pub queue_policy: Patience,
+    pub queue_policy: QueuePolicy,
     /// Limit of requests to cold targets.
     pub cold: ColdBound,
     /// Interval between heartbeats to peers.
@@ -61,7 +61,7 @@
 
 /// How long requests wait for a target, and when refused clients may retry.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct QueuePolicy {
     /// Wait of a first attempt, as a fraction of its objective.
     pub first_wait: f64,
     /// Wait of a retry, as a fraction of its objective.
@@ -77,7 +77,7 @@
     pub over_share_retry_capacity: f64,
 }
 
-impl Default for Patience {
+impl Default for QueuePolicy {
     fn default() -> Self {
         Self {
             // Time spent in this queue is lost at the engine, where a prompt is queued again. With
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -18,7 +18,7 @@
 
 use super::*;
 use crate::queue::Asker;
-use crate::settings::{ColdBound, Patience};
+use crate::settings::{ColdBound, QueuePolicy};
 
 mod homes;
 mod refusing;
@@ -73,7 +73,7 @@
         share_window: Duration::from_secs(4),
         grace: Duration::from_secs(8),
         policy: Policy::default(),
-        queue_policy: Patience::default(),
+        queue_policy: QueuePolicy::default(),
         heartbeat_interval: Duration::from_millis(100),
         millicores: 500,
         cell_targets: 48,
@@ -448,7 +448,7 @@
         counted: false,
         failed: false,
         avoid: Vec::new(),
-        until: arrived + OBJECTIVE.mul_f64(Patience::default().first_wait),
+        until: arrived + OBJECTIVE.mul_f64(QueuePolicy::default().first_wait),
         claim: Claim::All,
         draw,
     }
