--- a/crates/path/src/flags.rs
+++ b/crates/path/src/flags.rs
@@ -171,12 +171,9 @@
         10_000.0,
         DEFAULT_CACHE_POLL_MS,
     );
-    let queue_policy = queue_parameters().into_iter();
-    let queue_policy = queue_policy.chain([interval, cell, cache_poll]);
-    placement_parameters()
-        .into_iter()
-        .chain(queue_policy)
-        .collect()
+    let queue = queue_parameters().into_iter();
+    let queue = queue.chain([interval, cell, cache_poll]);
+    placement_parameters().into_iter().chain(queue).collect()
 }
 
 /// The environment variable of a flag.
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -298,8 +298,8 @@
         };
         self.requests.insert(number, request);
         self.plan(now + LINK, Event::Put(number));
-        let queue_policy = OBJECTIVE.mul_f64(self.settings.queue_policy.first_wait);
-        self.plan(now + queue_policy, Event::GivenUp(number));
+        let max_wait = OBJECTIVE.mul_f64(self.settings.queue_policy.first_wait);
+        self.plan(now + max_wait, Event::GivenUp(number));
     }
 
     fn put(&mut self, number: u64, now: Duration) {
