--- a/crates/path/src/flags.rs
+++ b/crates/path/src/flags.rs
@@ -140,7 +140,7 @@
             "again",
             "Fraction of that capacity for retries",
             1.0,
-            queue_policy.over_share_retry_capacity,
+            queue_policy.retry_capacity,
         ),
     ]
 }
@@ -240,7 +240,7 @@
             miss_delay: value("wait-miss"),
             retry_delay: value("come-back"),
             over_share_capacity: value("over-share"),
-            over_share_retry_capacity: value("again"),
+            retry_capacity: value("again"),
         },
         heartbeat_interval: Duration::from_secs_f64(value("report-ms") / 1_000.0),
         cell_targets: round(value("cell-targets")),
--- a/crates/path/src/settings.rs
+++ b/crates/path/src/settings.rs
@@ -74,7 +74,7 @@
     /// Fraction of the capacity that is available to a request beyond its customer's share.
     pub over_share_capacity: f64,
     /// Fraction of that capacity that is available to a retry, which is late.
-    pub over_share_retry_capacity: f64,
+    pub retry_capacity: f64,
 }
 
 impl Default for QueuePolicy {
@@ -88,7 +88,7 @@
             retry_wait: 0.06,
             retry_delay: 1.0,
             over_share_capacity: 0.8,
-            over_share_retry_capacity: 0.2,
+            retry_capacity: 0.2,
         }
     }
 }
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -166,21 +166,16 @@
 
     /// Part of all room that a request may use.
     fn room(&self, settings: &Settings, wish: &Wish, cover: f64) -> f64 {
-        let queue_policy = &settings.queue_policy;
+        let queue = &settings.queue_policy;
         let share = match (cover < 1.0, wish.returning) {
             (false, _) => 1.0,
             // Squared, as what is left at full targets goes to whoever asks most often.
-            (true, false) => queue_policy.over_share_capacity * cover * cover,
+            (true, false) => queue.over_share_capacity * cover * cover,
             // Beyond a share new callers, who can still be answered in time, use up all that the
             // share allows. With the same room for both, 36 in 100 of the requests that ran for a
             // flooding customer were late before they began; all callers got 0.859 of the worth
             // they asked for, and 0.888 with a fifth of it (mean of five days of high load).
-            (true, true) => {
-                queue_policy.over_share_capacity
-                    * cover
-                    * cover
-                    * queue_policy.over_share_retry_capacity
-            }
+            (true, true) => queue.over_share_capacity * cover * cover * queue.retry_capacity,
         };
         #[expect(clippy::cast_precision_loss, reason = "a few hundred routers")]
         let claimed = match wish.claim {
