--- a/crates/path/src/cache_polling.rs
+++ b/crates/path/src/cache_polling.rs
@@ -106,8 +106,8 @@
     }
 }
 
-/// Interval between two queries: the engines of a round are polled evenly over `interval`, or over a
-/// longer time on a small processor. `None` if no engine should be queried.
+/// Interval between two queries: the engines of a round are polled evenly over `interval`, or over
+/// a longer time on a small processor. `None` if no engine should be queried.
 #[must_use]
 pub fn query_interval(interval: Duration, engines: usize, millicores: u32) -> Option<Duration> {
     let engines = u32::try_from(engines).ok().filter(|it| *it > 0)?;
--- a/crates/path/src/clock.rs
+++ b/crates/path/src/clock.rs
@@ -68,7 +68,8 @@
         }
     }
 
-    /// Time since the start, including all suspensions found by [`measure_suspended`](Self::measure_suspended).
+    /// Time since the start, including all suspensions found by
+    /// [`measure_suspended`](Self::measure_suspended).
     #[must_use]
     pub fn now(&self) -> Duration {
         self.started_at.elapsed() + self.suspended.get()
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -13,7 +13,7 @@
 /// Source of a list that was received from a peer.
 const PEER: &str = "peer";
 
-/// Limit of log lines about the changes of a list that a peer has read.
+/// Limit of changes that are logged one by one when a list comes from a peer.
 const MAX_LOGGED_CHANGES: usize = 8;
 
 impl Node {
