--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -289,7 +289,7 @@
         return;
     }
     if answer.leaving {
-        leaving::said(node, &lease.target);
+        leaving::record_announcement(node, &lease.target);
     }
     // A time that can't be read is none: the refusal counts as a plain one.
     let named = *answer.backoff.as_ref().unwrap_or(&None);
@@ -307,7 +307,7 @@
     let answer = node.dialect.answer(head);
     tell::said(node, job, lease, head.status, &answer);
     if head.status == StatusCode::MISDIRECTED_REQUEST {
-        node.replaced(&lease.target);
+        node.remove_replaced_target(&lease.target);
         lease.not_run();
         return Err(Failure::new(Verdict::NotRun, "misdirected"));
     }
--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -28,10 +28,10 @@
 use crate::attempt::{self, Attempt, Failure, Job, Verdict};
 use crate::cut::Break;
 use crate::lending;
-use crate::life;
 use crate::node::Node;
 use crate::relay::Relay;
 use crate::reply::{Content, Reason, Refusal};
+use crate::shutdown;
 use crate::state::{Claim, State, Wish};
 use crate::tell;
 
@@ -67,7 +67,7 @@
         Ok(response) => response,
         Err(refusal) => refusal.response(),
     };
-    if node.leaving().is_some() || node.strain.behind() {
+    if node.leaving().is_some() || node.overload.is_overloaded() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
@@ -91,7 +91,7 @@
         refusal
     };
     let admitted = admission::admit(node, &head, &call).map_err(refused)?;
-    if life::ending(node, admitted.route.kind.streams()) {
+    if shutdown::refuses_requests(node, admitted.route.kind.streams()) {
         return Err(refused(
             Refusal::new(Reason::Leaving).with_retry_after(LEAVING_RETURN),
         ));
@@ -118,7 +118,7 @@
 /// The refusal of a content under which targets have ended, or may have: it would end the next one.
 /// Its caller learns after what time it may be tried again.
 pub(crate) fn unsafe_to_send(node: &Rc<Node>, job: &Job) -> Option<Refusal> {
-    match node.standing_of(job.content) {
+    match node.content_status(job.content) {
         Status::Free | Status::Suspect => None,
         Status::Held => {
             Some(Refusal::new(Reason::Suspected).with_retry_after(quarantine::OPEN_TIMEOUT))
@@ -281,11 +281,11 @@
 /// How long this try to place a request may last. It counts from now and not from the arrival, as a
 /// second try comes after a target has had the request for longer than that.
 pub(crate) fn give_up_at(node: &Rc<Node>, job: &Job) -> Duration {
-    let patience = &node.settings.patience;
+    let queue_policy = &node.settings.queue_policy;
     let part = if job.returning {
-        patience.returning
+        queue_policy.retry_wait
     } else {
-        patience.first
+        queue_policy.first_wait
     };
     let until = node.now() + job.route.objective.mul_f64(part);
     until.min(job.deadline)
@@ -333,7 +333,7 @@
     if !unavailable || refusal.retry_after.is_some() {
         return refusal;
     }
-    let part = node.settings.patience.come_back;
+    let part = node.settings.queue_policy.retry_delay;
     refusal.with_retry_after(job.route.objective.mul_f64(part))
 }
 
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -23,19 +23,19 @@
 use tokio::time::Instant;
 
 use crate::clock::Clock;
-use crate::courier::Courier;
 use crate::dialect::Dialect;
 use crate::gossip::{self, Gossip};
-use crate::inbox::Buffer;
+use crate::inbound::Buffer;
 use crate::journal::{Journal, Line, millis};
 use crate::metrics::Metrics;
+use crate::outbound::Socket;
+use crate::overload::Detector;
 use crate::pending::Pending;
 use crate::pool::Pool;
-use crate::quarantine::Unwritten;
+use crate::quarantine::WriteQueue;
 use crate::settings::Settings;
 use crate::state::State;
-use crate::strain::Strain;
-use crate::view::Fetching;
+use crate::view::Fetches;
 use crate::wake::Wake;
 
 /// Time after its start for which a router waits to hear what is quarantined before it is ready: peers
@@ -99,15 +99,15 @@
     pub pool: Pool,
     /// Identity of this start.
     pub peer: Peer,
-    pub(crate) courier: Courier,
-    pub(crate) inbox: Buffer,
+    pub(crate) outbound: Socket,
+    pub(crate) inbound: Buffer,
     pub(crate) gossip: Gossip,
-    pub(crate) fetching: Fetching,
+    pub(crate) fetches: Fetches,
     pub(crate) pending: Pending,
-    pub(crate) strain: Strain,
+    pub(crate) overload: Detector,
     pub(crate) state: RefCell<State>,
     /// Entries that the store is to keep.
-    pub(crate) unwritten: Unwritten,
+    pub(crate) quarantine_writes: WriteQueue,
     pub(crate) clock: Clock,
     pub(crate) wake: Wake,
     pub(crate) room: Notify,
@@ -136,14 +136,14 @@
             metrics: Metrics::default(),
             pool: Pool::new(),
             peer,
-            courier: Courier::default(),
-            inbox: Buffer::default(),
+            outbound: Socket::default(),
+            inbound: Buffer::default(),
             gossip: Gossip::default(),
-            fetching: Fetching::default(),
+            fetches: Fetches::default(),
             pending: Pending::default(),
-            strain: Strain::default(),
+            overload: Detector::default(),
             state: RefCell::new(state),
-            unwritten: Unwritten::default(),
+            quarantine_writes: WriteQueue::default(),
             clock,
             wake: Wake::default(),
             room: Notify::new(),
@@ -197,7 +197,7 @@
         let now = self.now();
         self.leaving.send_replace(Some(now));
         self.state.borrow_mut().leave();
-        gossip::spread(self);
+        gossip::push_views(self);
     }
 
     pub(crate) fn watch_leaving(&self) -> watch::Receiver<Option<Duration>> {
@@ -212,7 +212,7 @@
         // What the others refuse must not find the one router that has not heard of it yet.
         let known = known && (state.quarantine_known || self.now() >= UNHEARD);
         let known = known && (state.compared || self.alone() || self.now() >= UNCOMPARED);
-        let sound = self.leaving().is_none() && !self.strain.behind();
+        let sound = self.leaving().is_none() && !self.overload.is_overloaded();
         drop(state);
         known && sound && self.confirmed_since_wake()
     }
@@ -244,7 +244,7 @@
                 .with("source", source),
         );
         self.metrics.add("configurations", source, 1);
-        gossip::spread(self);
+        gossip::push_views(self);
         self.room_came();
     }
 
--- a/crates/path/src/server.rs
+++ b/crates/path/src/server.rs
@@ -17,9 +17,9 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
 use crate::exchange;
-use crate::life;
 use crate::node::Node;
 use crate::pool;
+use crate::shutdown;
 
 /// Connections that may wait to be accepted.
 const BACKLOG: u32 = 1_024;
@@ -74,7 +74,7 @@
             Err(error) => {
                 let line = node.journal.line("accept_failed");
                 drop(line.with("error", error.to_string()));
-                node.note_refusing();
+                node.record_accept_failure();
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -112,7 +112,7 @@
     tokio::select! {
         // An answer that broke off has been told by its request.
         _ = connection.as_mut() => return,
-        () = life::closing(&node) => connection.as_mut().graceful_shutdown(),
+        () = shutdown::idle_close(&node) => connection.as_mut().graceful_shutdown(),
     }
     drop(connection.await);
     drop(open);
@@ -183,10 +183,10 @@
     };
     let content = content.trim_start_matches('/');
     match (request.method(), content) {
-        (&Method::GET, "") => Ok(node.quarantined()),
+        (&Method::GET, "") => Ok(node.quarantine_listing()),
         (&Method::DELETE, content) => {
             let content = Digest::parse(content).ok_or(StatusCode::BAD_REQUEST)?;
-            let lifted = node.lift(content);
+            let lifted = node.lift_quarantine(content);
             let lifted = lifted.then(String::new);
             lifted.ok_or(StatusCode::NOT_FOUND)
         }
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -196,13 +196,13 @@
             peer,
             budget: Budget::new(settings.repeats),
             shares: Shares::new(settings.share_window),
-            reach: Reachability::new(settings.report_interval),
+            reach: Reachability::new(settings.heartbeat_interval),
             round_trips: RoundTrips::default(),
             region: settings.regions.of(&settings.domain),
             short: HashMap::new(),
             tries: Detector::new(),
             returns: Contents::default(),
-            membership: Membership::new(card.clone(), &settings.seeds, settings.report_interval),
+            membership: Membership::new(card.clone(), &settings.seeds, settings.heartbeat_interval),
             members: Members::new(card).with_regions(settings.regions.clone()),
             queue: Vec::new(),
             reported: Health::new(),
@@ -343,7 +343,7 @@
     }
 
     /// The store, or a peer, names an era.
-    pub(crate) fn see_era(&mut self, era: u64, now: Duration) -> Observation {
+    pub(crate) fn observe_era(&mut self, era: u64, now: Duration) -> Observation {
         let sight = self.store.observe(era, now);
         if sight == Observation::Restored {
             self.registry.record_restore(now);
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -18,7 +18,7 @@
 
 use super::*;
 use crate::queue::Asker;
-use crate::settings::{ColdBound, Patience};
+use crate::settings::{ColdBound, QueuePolicy};
 
 mod homes;
 mod refusing;
@@ -73,11 +73,11 @@
         share_window: Duration::from_secs(4),
         grace: Duration::from_secs(8),
         policy: Policy::default(),
-        patience: Patience::default(),
-        report_interval: Duration::from_millis(100),
+        queue_policy: QueuePolicy::default(),
+        heartbeat_interval: Duration::from_millis(100),
         millicores: 500,
         cell_targets: 48,
-        memory_interval: Duration::ZERO,
+        cache_poll_interval: Duration::ZERO,
     }
 }
 
@@ -298,8 +298,8 @@
         };
         self.requests.insert(number, request);
         self.plan(now + LINK, Event::Put(number));
-        let patience = OBJECTIVE.mul_f64(self.settings.patience.first);
-        self.plan(now + patience, Event::GivenUp(number));
+        let max_wait = OBJECTIVE.mul_f64(self.settings.queue_policy.first_wait);
+        self.plan(now + max_wait, Event::GivenUp(number));
     }
 
     fn put(&mut self, number: u64, now: Duration) {
@@ -448,7 +448,7 @@
         counted: false,
         failed: false,
         avoid: Vec::new(),
-        until: arrived + OBJECTIVE.mul_f64(Patience::default().first),
+        until: arrived + OBJECTIVE.mul_f64(QueuePolicy::default().first_wait),
         claim: Claim::All,
         draw,
     }
