--- a/crates/path/src/admission.rs
+++ b/crates/path/src/admission.rs
@@ -1,5 +1,7 @@
-//! A request against the configuration in force: its route, customer and service, and what follows
-//! for its deadline, its cost and its content.
+//! Admission of requests under the configuration in force.
+//!
+//! Admission determines a request's route, customer and service, and from these its deadline, its
+//! cost and its content digest.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -18,10 +20,10 @@
 use crate::node::Node;
 use crate::reply::{Reason, Refusal};
 
-/// Time after which a caller may come back if nothing is known yet.
-const UNKNOWN_RETURN: Duration = Duration::from_millis(500);
+/// `Retry-After` of requests that are refused before a configuration is known.
+const NO_CONFIGURATION_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What the configuration in force says of a request.
+/// Route, customer and service of a request under the configuration in force.
 pub(crate) struct Admission {
     pub(crate) table: Rc<Table>,
     pub(crate) route: Arc<Route>,
@@ -29,32 +31,38 @@
     service: Arc<str>,
 }
 
-/// The host that a request names, without a port.
+/// Host of a request, without the port; empty if it names none.
 fn host(head: &request::Parts) -> &str {
     let host = head.headers.get(HOST).and_then(|it| it.to_str().ok());
     let host = host.or_else(|| head.uri.host()).unwrap_or_default();
     host.split(':').next().unwrap_or_default()
 }
 
-/// The digest of what a request asks.
-fn content(head: &request::Parts, customer: Option<&str>, body: &[u8]) -> Digest {
+/// Digest of a request's content.
+fn digest(head: &request::Parts, customer: Option<&str>, body: &[u8]) -> Digest {
     let path = head.uri.path_and_query();
-    let address = Endpoint {
+    let endpoint = Endpoint {
         method: head.method.as_str(),
         host: host(head),
         path: path.map_or("", |it| it.as_str()),
     };
-    Digest::new(address, customer, body)
+    Digest::new(endpoint, customer, body)
 }
 
 /// Checks a request against the configuration in force.
+///
+/// # Errors
+///
+/// If there is no configuration, no route or no service for the request, or if its key is not known.
 pub(crate) fn admit(
     node: &Rc<Node>,
     head: &request::Parts,
     call: &Call,
 ) -> Result<Admission, Refusal> {
     let Some(table) = node.table() else {
-        return Err(Refusal::new(Reason::NoConfiguration).with_retry_after(UNKNOWN_RETURN));
+        return Err(
+            Refusal::new(Reason::NoConfiguration).with_retry_after(NO_CONFIGURATION_RETRY_AFTER)
+        );
     };
     let route = table.route(host(head), head.uri.path()).cloned();
     let route = route.ok_or_else(|| Refusal::new(Reason::NoRoute))?;
@@ -74,7 +82,7 @@
     })
 }
 
-/// The request, as it may be sent.
+/// Creates the job of an admitted request whose body was read.
 pub(crate) fn job(
     node: &Rc<Node>,
     head: request::Parts,
@@ -97,9 +105,9 @@
     let prompt = prompt.map(|it| Rc::new(it.compact()));
     let cost = prompt.as_deref().map_or(0, share::cost);
     let regions = &node.settings.regions;
-    let of_customer = customer.as_deref().and_then(|it| table.regions_of(it));
+    let customer_regions = customer.as_deref().and_then(|it| table.regions_of(it));
     let allowed = regions.allowed(&route.regions);
-    let allowed = allowed.and(regions.allowed(of_customer.unwrap_or_default()));
+    let allowed = allowed.and(regions.allowed(customer_regions.unwrap_or_default()));
     let now = node.now();
     let returning = {
         let mut state = node.state.borrow_mut();
@@ -108,7 +116,7 @@
     };
     Job {
         id: call.id,
-        content: content(&head, customer.as_deref(), &body),
+        content: digest(&head, customer.as_deref(), &body),
         head,
         body,
         deadline: arrived + left.min(route.timeout),
