--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a target, up to the head of its answer.
+//! One attempt to run a request at a target, up to the head of the answer.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -24,75 +24,77 @@
 use crate::pool::{self, Connection};
 use crate::tell;
 
-/// Part of its objective for which a request waits for a connection.
-const CONNECT_PART: f64 = 0.5;
+/// Connect timeout as a fraction of the route's objective.
+const CONNECT_TIMEOUT_FACTOR: f64 = 0.5;
 
-/// Shortest time for which it waits, as a lost packet is sent again only then.
-const CONNECT_LEAST: Duration = Duration::from_millis(150);
+/// Lower bound of the connect timeout; a lost packet is not retransmitted earlier.
+const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Time within which an answer may cross the close of an idle connection.
-const CROSSED: Duration = Duration::from_millis(500);
+/// Time after sending within which a failure of a reused connection may be caused by its target
+/// closing it as idle at the same time.
+const IDLE_CLOSE_WINDOW: Duration = Duration::from_millis(500);
 
-/// Objectives after which a target that has not begun to answer counts as failing.
-const SILENCE: f64 = 2.0;
+/// Time without an answer after which a target counts as failing, in multiples of the route's
+/// objective.
+const SILENCE_FACTOR: f64 = 2.0;
 
-/// Shortest such time.
-const SILENCE_LEAST: Duration = Duration::from_millis(800);
+/// Lower bound of the time without an answer after which a target counts as failing.
+const MIN_SILENCE: Duration = Duration::from_millis(800);
 
-/// A request that has been read and may be sent.
+/// A request that was admitted and read, and may be sent.
 #[derive(Debug)]
 pub struct Job {
-    /// Identity of the request.
+    /// Id of the request.
     pub id: Arc<str>,
-    /// What it asks.
+    /// Digest of its content.
     pub content: Digest,
-    /// The caller's head.
+    /// Head as received from the caller.
     pub head: request::Parts,
-    /// The whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// The route under which it arrived.
+    /// Route that it matches.
     pub route: Arc<Route>,
-    /// The service that is to run it.
+    /// Service that runs it.
     pub service: Arc<str>,
-    /// The customer that holds its key.
+    /// Customer that its key belongs to.
     pub customer: Option<Arc<str>>,
-    /// Regions in which route and customer allow it to run.
+    /// Regions in which its route and its customer allow it to run.
     pub allowed: Constraint,
-    /// Its prompt.
+    /// Prompt, if an engine runs the service.
     pub prompt: Option<Rc<Prompt>>,
-    /// Tokens for which its customer is charged.
+    /// Tokens charged to its customer.
     pub cost: u64,
-    /// How long its caller said that it waits.
+    /// Timeout that its caller requested, by default that of the route.
     pub caller_waits: Duration,
-    /// Whether its caller was refused before.
+    /// Whether it is taken for the retry of a request that was refused.
     pub returning: bool,
     /// When it arrived.
     pub arrived: Duration,
-    /// When its caller or its route gives it up.
+    /// When the timeout of its caller or its route expires.
     pub deadline: Duration,
-    /// Last event that the caller had when it asked.
+    /// Id of the last event that the caller had received, if it resumes a stream.
     pub resume_after: Option<u64>,
 }
 
 /// Whether a request that failed may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Not a byte of it was sent.
+    /// No byte of it was sent.
     NotSent,
-    /// The target says that it has not run it.
+    /// The target reports that it has not run it.
     NotRun,
     /// It may have run.
     Unknown,
-    /// It has run and failed; another run is allowed and taken from the budget.
+    /// It has run and failed; another run is allowed and was taken from the retry budget.
     Repeat,
 }
 
-/// Why an attempt brought no answer.
+/// Failure of an attempt to obtain an answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Failure {
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// What happened, for logs and metrics.
+    /// Reason, as named in logs and metrics.
     pub reason: &'static str,
 }
 
@@ -102,38 +104,38 @@
     }
 }
 
-/// A target's answer up to its head.
+/// An answer of which the head was received.
 pub struct Attempt {
-    /// Head of the answer.
+    /// Head.
     pub head: response::Parts,
-    /// Rest of the answer.
+    /// Body, not read yet.
     pub body: Incoming,
-    /// The place at the target.
+    /// Place at the target.
     pub lease: Lease,
     connection: Connection,
-    keep: Duration,
+    keep_alive: Duration,
 }
 
 impl Attempt {
-    /// The answer was read to its end: keeps the connection.
+    /// Returns the connection to the pool after the answer was read to its end.
     pub fn finish(self, node: &Node) {
         let Self {
             lease,
             connection,
-            keep,
+            keep_alive,
             ..
         } = self;
         let tag = lease.target.tag();
         drop(lease);
-        node.pool.put(tag, connection, keep, node.now());
+        node.pool.put(tag, connection, keep_alive, node.now());
     }
 }
 
-/// Sends a request to the target of `lease` and waits until `limit` for its head.
+/// Sends a request to the target of `lease` and waits until `limit` for the head of its answer.
 ///
 /// # Errors
 ///
-/// If there is no answer that belongs to the request.
+/// If there is no valid answer to the request.
 pub async fn send(
     node: &Rc<Node>,
     job: &Job,
@@ -149,7 +151,8 @@
         Some(connection) => connection,
         None => connect(node, job, &lease).await?,
     };
-    // What has become known since the place was given, also while a connection was opened.
+    // The target may have been barred since the place was granted, also while a connection was
+    // opened.
     let now = node.now();
     let barred = node.state.borrow().barred(&target, job.allowed, now);
     if let Some(bar) = barred {
@@ -159,21 +162,25 @@
     let (response, connection) =
         exchange(node, job, &lease, connection, resume_after, limit).await?;
     let (head, body) = response.into_parts();
-    let keep = pool::keep(&head.headers);
-    check(node, job, &lease, &head)?;
+    let keep_alive = pool::keep(&head.headers);
+    validate(node, job, &lease, &head)?;
     Ok(Attempt {
         head,
         body,
         lease,
         connection,
-        keep,
+        keep_alive,
     })
 }
 
 async fn connect(node: &Rc<Node>, job: &Job, lease: &Lease) -> Result<Connection, Failure> {
     let left = job.deadline.saturating_sub(node.now());
-    let part = job.route.objective.mul_f64(CONNECT_PART).max(CONNECT_LEAST);
-    let opened = pool::open(lease.target.address, part.min(left)).await;
+    let timeout = job
+        .route
+        .objective
+        .mul_f64(CONNECT_TIMEOUT_FACTOR)
+        .max(MIN_CONNECT_TIMEOUT);
+    let opened = pool::open(lease.target.address, timeout.min(left)).await;
     node.metrics.add("connections", &lease.target.service, 1);
     if opened.is_ok() {
         cut::reached(node, &lease.target);
@@ -200,12 +207,12 @@
     limit: Duration,
 ) -> Result<(Response<Incoming>, Connection), Failure> {
     let request = request(node, job, lease, resume_after);
-    let begun = node.now();
+    let sent_at = node.now();
     lease.sent(job.content);
     let sent = connection.sender.try_send_request(request);
-    let sent = wait(node, job, lease, sent, limit).await;
+    let sent = await_answer(node, job, lease, sent, limit).await;
     let Some(sent) = sent else {
-        doubt(node, lease, &connection);
+        close_idle_if_reused(node, lease, &connection);
         lease.note(Outcome::Bad);
         lease.cut(Break::Silent);
         return Err(Failure::new(Verdict::Unknown, "no_answer"));
@@ -217,9 +224,9 @@
                 lease.not_run();
                 return Err(Failure::new(Verdict::NotSent, "connection_closed"));
             }
-            doubt(node, lease, &connection);
-            // An idle connection that its target closed just then says nothing of its health.
-            if !connection.used || node.now() > begun + CROSSED {
+            close_idle_if_reused(node, lease, &connection);
+            // That a target closed an idle connection at this moment says nothing about its health.
+            if !connection.used || node.now() > sent_at + IDLE_CLOSE_WINDOW {
                 lease.note(Outcome::Bad);
             }
             lease.cut(Break::Closed);
@@ -228,17 +235,17 @@
     }
 }
 
-/// A kept connection brought no answer: the others to that target may be as dead, and a new one
-/// shows whether the target is there.
-fn doubt(node: &Node, lease: &Lease, connection: &Connection) {
+/// Closes the idle connections to a target if a reused one brought no answer: the others may be
+/// dead as well, and only a new connection shows whether the target is reachable.
+fn close_idle_if_reused(node: &Node, lease: &Lease, connection: &Connection) {
     if connection.used {
         node.pool.close(lease.target.tag());
     }
 }
 
-/// Waits for an answer until `limit`; a target that is silent for long has failed already
-/// before that.
-async fn wait<T>(
+/// Waits for an answer until `limit`. A target that has not answered after [`SILENCE_FACTOR`] times
+/// the objective is recorded as failing before that, and the wait goes on.
+async fn await_answer<T>(
     node: &Rc<Node>,
     job: &Job,
     lease: &Lease,
@@ -246,7 +253,7 @@
     limit: Duration,
 ) -> Option<T> {
     let mut answer = std::pin::pin!(answer);
-    let silence = job.route.objective.mul_f64(SILENCE).max(SILENCE_LEAST);
+    let silence = job.route.objective.mul_f64(SILENCE_FACTOR).max(MIN_SILENCE);
     let early = limit.min(node.now() + silence);
     if let Some(answer) = node.until(early, answer.as_mut()).await {
         return Some(answer);
@@ -283,27 +290,32 @@
     request
 }
 
-/// Takes what a target says of itself in an answer that is surely its own.
-fn hear(node: &Rc<Node>, lease: &Lease, status: StatusCode, answer: &Answer) {
+/// Records what a target announces about itself, if the answer is known to come from it.
+fn record_announcements(node: &Rc<Node>, lease: &Lease, status: StatusCode, answer: &Answer) {
     if !answer.own() {
         return;
     }
     if answer.leaving {
         leaving::said(node, &lease.target);
     }
-    // A time that can't be read is none: the refusal counts as a plain one.
-    let named = *answer.backoff.as_ref().unwrap_or(&None);
-    let full = [
+    // A malformed backoff time counts as none: the refusal is recorded without one.
+    let backoff = *answer.backoff.as_ref().unwrap_or(&None);
+    let refusals = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
     ];
-    if full.contains(&status) && (answer.not_run || named.is_some()) {
-        lease.refused(Refusal { backoff: named });
+    if refusals.contains(&status) && (answer.not_run || backoff.is_some()) {
+        lease.refused(Refusal { backoff });
     }
 }
 
-/// Whether an answer belongs to the request and comes from the target.
-fn check(node: &Rc<Node>, job: &Job, lease: &Lease, head: &response::Parts) -> Result<(), Failure> {
+/// Checks that an answer belongs to the request and comes from the target.
+fn validate(
+    node: &Rc<Node>,
+    job: &Job,
+    lease: &Lease,
+    head: &response::Parts,
+) -> Result<(), Failure> {
     let answer = node.dialect.answer(head);
     tell::said(node, job, lease, head.status, &answer);
     if head.status == StatusCode::MISDIRECTED_REQUEST {
@@ -314,7 +326,7 @@
     if answer.id.as_ref().is_some_and(|it| *it != job.id) {
         return Err(Failure::new(Verdict::Unknown, "other_answer"));
     }
-    hear(node, lease, head.status, &answer);
+    record_announcements(node, lease, head.status, &answer);
     if answer.not_run {
         lease.not_run();
         return Err(Failure::new(Verdict::NotRun, "turned_away"));
