--- a/crates/path/src/admission.rs
+++ b/crates/path/src/admission.rs
@@ -53,7 +53,7 @@
 ///
 /// # Errors
 ///
-/// If there is no configuration, no route or no service for the request, or if its key is not known.
+/// If there is no configuration, no route or no service for the request, or if its key is unknown.
 pub(crate) fn admit(
     node: &Rc<Node>,
     head: &request::Parts,
