--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -1,9 +1,9 @@
-//! One request from its head to its answer.
+//! Handling of one request, from its head to its answer.
 //!
-//! The request is checked against the configuration in force, its body is read,
-//! and it is placed, sent and answered. What failed is sent once more only if it
-//! has not run or may run twice, if its route allows another target, and if the
-//! budget of repeats does. A request that is given up gets its answer at once.
+//! The request is checked against the configuration in force, its body is read, and it is placed,
+//! sent and answered. After a failure it is sent again only if it has not run or may run twice, and
+//! if the attempts of its route and the retry budget allow it; the retry budget does not limit
+//! requests of which nothing was sent. A request that is given up is answered at once.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -35,20 +35,24 @@
 use crate::state::{Claim, State, Wish};
 use crate::tell;
 
-/// Sends of one request beyond its route's attempts, where it has not run.
-const EXTRA_SENDS: u32 = 2;
+/// Tries of one request beyond the attempts of its route after which it is not tried once more,
+/// even if it has not run.
+const EXTRA_TRIES: u32 = 2;
 
-/// Part of its objective for which a repeatable request waits for a plain answer.
-const ANSWER_PART: f64 = 0.6;
+/// Timeout for the answer to an idempotent request that may be sent again, as a fraction of the
+/// route's objective.
+const ANSWER_TIMEOUT_FACTOR: f64 = 0.6;
 
-/// Largest plain answer that is read whole before it is passed on.
-const WHOLE_ANSWER: usize = 4 * 1024 * 1024;
+/// Limit of the body of an answer that is not a stream and is read completely before it is
+/// forwarded.
+const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
-/// Time after which a caller may come to another router than one that ends.
-const LEAVING_RETURN: Duration = Duration::from_millis(50);
+/// `Retry-After` of requests that are refused by a router that is shutting down; another router can
+/// accept them.
+const LEAVING_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Headers that concern one connection only.
-const CONNECTION_HEADERS: [&str; 7] = [
+/// Hop-by-hop headers, which are not forwarded.
+const HOP_BY_HOP_HEADERS: [&str; 7] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -58,12 +62,12 @@
     "upgrade",
 ];
 
-/// Serves one request.
+/// Handles one request and returns the response to its caller.
 pub async fn serve(node: Rc<Node>, request: Request<Incoming>) -> Response<Content> {
     node.look_for_wake();
     let arrived = node.now();
     let (head, body) = request.into_parts();
-    let mut response = match answer(&node, head, body, arrived).await {
+    let mut response = match handle(&node, head, body, arrived).await {
         Ok(response) => response,
         Err(refusal) => refusal.response(),
     };
@@ -74,7 +78,7 @@
     response
 }
 
-async fn answer(
+async fn handle(
     node: &Rc<Node>,
     head: request::Parts,
     body: Incoming,
@@ -93,30 +97,32 @@
     let admitted = admission::admit(node, &head, &call).map_err(refused)?;
     if life::ending(node, admitted.route.kind.streams()) {
         return Err(refused(
-            Refusal::new(Reason::Leaving).with_retry_after(LEAVING_RETURN),
+            Refusal::new(Reason::Leaving).with_retry_after(LEAVING_RETRY_AFTER),
         ));
     }
-    let body = read(node, &admitted.table, body).await.map_err(refused)?;
+    let body = read_body(node, &admitted.table, body)
+        .await
+        .map_err(refused)?;
     let job = Rc::new(admission::job(node, head, body, call, admitted, arrived));
     if let Some(refusal) = unsafe_to_send(node, &job) {
         tell::refusal(node, &job.id, arrived, refusal, Some(&job));
         return Err(refusal);
     }
-    let mut departure = tell::Departure {
+    let mut caller_guard = tell::Departure {
         node: node.clone(),
         job: job.clone(),
         answered: false,
     };
     let answer = run(node, &job).await;
-    departure.answered = true;
+    caller_guard.answered = true;
     if let Err(refusal) = &answer {
         tell::refusal(node, &job.id, arrived, *refusal, Some(&job));
     }
     answer
 }
 
-/// The refusal of a content under which targets have ended, or may have: it would end the next one.
-/// Its caller learns after what time it may be tried again.
+/// Refusal of a request whose content has terminated targets, or may have, and would terminate the
+/// next one; with the time after which it may be tried again.
 pub(crate) fn unsafe_to_send(node: &Rc<Node>, job: &Job) -> Option<Refusal> {
     match node.standing_of(job.content) {
         Status::Free | Status::Suspect => None,
@@ -127,7 +133,7 @@
     }
 }
 
-async fn read(node: &Rc<Node>, table: &Rc<Table>, body: Incoming) -> Result<Bytes, Refusal> {
+async fn read_body(node: &Rc<Node>, table: &Rc<Table>, body: Incoming) -> Result<Bytes, Refusal> {
     let limits = table.limits();
     let reading = Limited::new(body, limits.body_bytes).collect();
     match node.until(node.now() + limits.idle_timeout, reading).await {
@@ -138,11 +144,11 @@
     }
 }
 
-/// What a request asks for, in the region that is its home.
+/// Placement request for a job in its home region.
 ///
 /// # Errors
 ///
-/// A refusal if it may run at no target.
+/// If the job may run at no target.
 pub(crate) fn wish(
     node: &Rc<Node>,
     job: &Job,
@@ -156,7 +162,7 @@
     Ok(draft.wish(&state, cell, failed, until))
 }
 
-/// The same in another region than that of a cell which had no room for it.
+/// Placement request for a job in another region than that of a cell that had no room for it.
 pub(crate) fn wish_elsewhere(
     node: &Rc<Node>,
     job: &Job,
@@ -175,12 +181,12 @@
     })
 }
 
-/// What is known of a request before its cell is.
+/// The part of a placement request that does not depend on the cell.
 struct Draft<'a> {
     node: &'a Node,
     job: &'a Job,
     content: Option<ContentTag>,
-    /// Its prefix, or a number that stands for it.
+    /// Prefix of its prompt, or a substitute if it has none.
     prefix: Prefix,
     draw: u64,
 }
@@ -189,22 +195,22 @@
     fn new(node: &'a Node, job: &'a Job) -> Self {
         let draw = node.draw();
         let state = node.state.borrow();
-        let known = state.quarantine.status(job.content, node.now()) != Status::Free;
-        let asked = known || !state.answered.contains(job.content);
-        let content = asked.then(|| job.content.tag());
-        // All that run a content that was not answered yet are placed by one owner.
-        let spread = content.map_or(draw, |it| it.0);
+        let recorded = state.quarantine.status(job.content, node.now()) != Status::Free;
+        let relevant = recorded || !state.answered.contains(job.content);
+        let content = relevant.then(|| job.content.tag());
+        // All runs of a content that was not answered yet are placed by the same owner.
+        let substitute = content.map_or(draw, |it| it.0);
         let prefix = job.prompt.as_deref().and_then(Prompt::prefix);
         Self {
             node,
             job,
             content,
-            prefix: prefix.unwrap_or(Prefix(spread)),
+            prefix: prefix.unwrap_or(Prefix(substitute)),
             draw,
         }
     }
 
-    /// The customer that is charged for it.
+    /// Customer that is charged for it, if its cost is not zero.
     fn customer(&self) -> Option<CustomerTag> {
         let customer = self.job.customer.as_ref();
         customer.filter(|_| self.job.cost > 0).map(share::tag)
@@ -241,14 +247,15 @@
     let mut sends = 0;
     let mut exclude = None;
     let mut tries = 0;
-    // A failure after which the request may have run; no refusal may deny it later.
+    // The last failure after which the request may have run; no later refusal may claim that it
+    // has not.
     let mut may_have_run: Option<Failure> = None;
     loop {
         tries += 1;
         let lease = lending::place(node, job, exclude).await;
         let lease = lease.map_err(|refusal| match may_have_run {
             Some(failure) => final_refusal(node, job, failure),
-            None => with_return(node, job, refusal),
+            None => with_default_retry_after(node, job, refusal),
         })?;
         let target = lease.target.clone();
         tell::sent(node, job, &lease, sends);
@@ -271,15 +278,15 @@
         if matches!(failure.verdict, Verdict::Unknown | Verdict::Repeat) {
             may_have_run = Some(failure);
         }
-        if !again(node, job, failure, sends, tries) {
+        if !may_try_again(node, job, failure, sends, tries) {
             let failure = may_have_run.unwrap_or(failure);
             return Err(final_refusal(node, job, failure));
         }
     }
 }
 
-/// How long this try to place a request may last. It counts from now and not from the arrival, as a
-/// second try comes after a target has had the request for longer than that.
+/// Time limit for placing a request. It counts from now and not from the arrival, because by the
+/// time of a second try the request may have been at a target for longer than the limit.
 pub(crate) fn give_up_at(node: &Rc<Node>, job: &Job) -> Duration {
     let patience = &node.settings.patience;
     let part = if job.returning {
@@ -292,18 +299,18 @@
 }
 
 fn answer_limit(node: &Rc<Node>, job: &Job, sends: u32) -> Duration {
-    let more = sends + 1 < job.route.attempts;
-    if job.route.kind == Kind::Idempotent && more {
-        let part = job.route.objective.mul_f64(ANSWER_PART);
-        return job.deadline.min(node.now() + part);
+    let attempts_left = sends + 1 < job.route.attempts;
+    if job.route.kind == Kind::Idempotent && attempts_left {
+        let timeout = job.route.objective.mul_f64(ANSWER_TIMEOUT_FACTOR);
+        return job.deadline.min(node.now() + timeout);
     }
     job.deadline
 }
 
-fn again(node: &Rc<Node>, job: &Job, failure: Failure, sends: u32, tries: u32) -> bool {
+fn may_try_again(node: &Rc<Node>, job: &Job, failure: Failure, sends: u32, tries: u32) -> bool {
     let attempts = job.route.attempts;
-    let over = node.now() >= job.deadline || tries > attempts + EXTRA_SENDS;
-    if over || unsafe_to_send(node, job).is_some() {
+    let exhausted = node.now() >= job.deadline || tries > attempts + EXTRA_TRIES;
+    if exhausted || unsafe_to_send(node, job).is_some() {
         return false;
     }
     match failure.verdict {
@@ -325,10 +332,10 @@
         (Verdict::NotSent, false) => Reason::NoTarget,
         (Verdict::NotRun, false) => Reason::TurnedAway,
     };
-    with_return(node, job, Refusal::new(reason))
+    with_default_retry_after(node, job, Refusal::new(reason))
 }
 
-fn with_return(node: &Rc<Node>, job: &Job, refusal: Refusal) -> Refusal {
+fn with_default_retry_after(node: &Rc<Node>, job: &Job, refusal: Refusal) -> Refusal {
     let unavailable = refusal.reason.status() == hyper::StatusCode::SERVICE_UNAVAILABLE;
     if !unavailable || refusal.retry_after.is_some() {
         return refusal;
@@ -337,7 +344,7 @@
     refusal.with_retry_after(job.route.objective.mul_f64(part))
 }
 
-/// Turns a target's answer into the caller's.
+/// Converts a target's answer into the response to the caller.
 async fn accept(
     node: &Rc<Node>,
     job: &Rc<Job>,
@@ -355,25 +362,26 @@
         }
     }
     if job.route.kind.streams() && attempt.head.status.is_success() {
-        let head = answer_head(&attempt.head, true);
+        let head = response_head(&attempt.head, true);
         let relay = Relay::new(node.clone(), job.clone(), attempt, sends);
         return Ok(Response::from_parts(
             head,
             Content::Relayed(Box::new(relay)),
         ));
     }
-    whole(node, job, attempt, sends).await
+    read_whole(node, job, attempt, sends).await
 }
 
-/// Reads a plain answer to its end before it is passed on, so that one cut short can be tried again.
-async fn whole(
+/// Reads an answer that is not a stream to its end before it is forwarded, so that the request can
+/// be tried again if the answer breaks off.
+async fn read_whole(
     node: &Rc<Node>,
     job: &Job,
     mut attempt: Attempt,
     sends: u32,
 ) -> Result<Response<Content>, Failure> {
     let limit = answer_limit(node, job, sends.saturating_sub(1));
-    let reading = Limited::new(&mut attempt.body, WHOLE_ANSWER).collect();
+    let reading = Limited::new(&mut attempt.body, MAX_ANSWER_BYTES).collect();
     let read = node.until(limit, reading).await;
     let body = match read {
         Some(Ok(body)) => body.to_bytes(),
@@ -396,23 +404,23 @@
     };
     attempt.lease.note(outcome);
     attempt.lease.survived();
-    let head = answer_head(&attempt.head, false);
+    let head = response_head(&attempt.head, false);
     let line = node.journal.line("answered").with("id", job.id.as_ref());
     let line = line
         .with("status", head.status.as_u16())
         .with("sends", sends);
     drop(line.with_ms("after_ms", node.now().saturating_sub(job.arrived)));
-    let whole = node.now().saturating_sub(job.arrived);
-    node.metrics.time("answer_seconds", &job.route.name, whole);
+    let total = node.now().saturating_sub(job.arrived);
+    node.metrics.time("answer_seconds", &job.route.name, total);
     attempt.finish(node);
     Ok(Response::from_parts(head, Content::Whole(body)))
 }
 
-fn answer_head(head: &response::Parts, stream: bool) -> response::Parts {
+fn response_head(head: &response::Parts, stream: bool) -> response::Parts {
     let mut answer = Response::new(()).into_parts().0;
     answer.status = head.status;
     answer.headers = head.headers.clone();
-    for name in CONNECTION_HEADERS {
+    for name in HOP_BY_HOP_HEADERS {
         answer.headers.remove(name);
     }
     if stream {
