--- a/crates/path/src/relay.rs
+++ b/crates/path/src/relay.rs
@@ -1,9 +1,9 @@
-//! A target's answer on its way to the caller.
+//! Forwarding of a target's answer to the caller.
 //!
-//! A stream of events is passed on event by event. One that may be resumed goes
-//! on at another target, within the same answer, when its target fails: the
-//! attempt before is dropped first, so that no two targets work on it. Dropping
-//! a [`Relay`], as when the caller has left, ends the work at the target.
+//! A stream of events is forwarded event by event. If its target fails, a resumable stream is
+//! resumed at another target within the same answer. The failed attempt is dropped first, so that
+//! no two targets work on the stream. Dropping a [`Relay`], for example because the caller has
+//! disconnected, ends the work at the target.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -24,76 +24,77 @@
 use crate::journal::millis;
 use crate::node::Node;
 
-/// Silence of a stream, in objectives, after which it goes on elsewhere if it may.
-const SILENCE: f64 = 2.0;
+/// Time without data after which a resumable stream is resumed at another target, in multiples of
+/// the route's objective.
+const SILENCE_FACTOR: f64 = 2.0;
 
-/// Places that a stream which goes on is given at the most, where targets turn it away.
-const PLACES: u32 = 3;
+/// Limit of targets that are tried to resume a stream, if targets refuse it.
+const MAX_RESUME_TARGETS: u32 = 3;
 
-/// Why a stream failed whose connection was closed.
-const CLOSED: &str = "broken_off";
+/// Reason of a failure by a closed connection.
+const CONNECTION_CLOSED: &str = "broken_off";
 
-/// An answer ends before its end; the caller's connection is broken off.
+/// Failure of an answer before its end, after which the caller's connection is closed.
 #[derive(Debug, Snafu)]
-#[snafu(display("the answer broke off: {reason}"))]
+#[snafu(display("answer is incomplete: {reason}"))]
 pub struct Broken {
     /// Why.
     pub reason: &'static str,
 }
 
-type Next = Option<Result<Bytes, Broken>>;
-type Step = Pin<Box<dyn Future<Output = (Box<Flow>, Next)>>>;
+type Item = Option<Result<Bytes, Broken>>;
+type NextFuture = Pin<Box<dyn Future<Output = (Box<Stream>, Item)>>>;
 
 enum Phase {
-    Idle(Box<Flow>),
-    Busy(Step),
+    Idle(Box<Stream>),
+    Busy(NextFuture),
     Done,
 }
 
-/// The body of an answer that comes from a target.
+/// Body of an answer that is forwarded from a target.
 pub struct Relay {
     phase: Phase,
 }
 
 impl Relay {
-    /// Passes on the answer of `attempt`.
+    /// Forwards the answer of `attempt`.
     #[must_use]
     pub fn new(node: Rc<Node>, job: Rc<Job>, attempt: Attempt, sends: u32) -> Self {
         let splitter = Splitter::new(job.resume_after);
-        let flow = Flow {
+        let stream = Stream {
             node,
             job,
             attempt: Some(attempt),
             splitter,
             sends,
-            begun: false,
+            answering: false,
             ended: false,
-            pace: Pace::default(),
+            timing: Timing::default(),
         };
         Self {
-            phase: Phase::Idle(Box::new(flow)),
+            phase: Phase::Idle(Box::new(stream)),
         }
     }
 
-    /// The next bytes for the caller.
-    pub fn poll_bytes(&mut self, context: &mut Context<'_>) -> Poll<Next> {
+    /// Polls for the next bytes for the caller.
+    pub fn poll_bytes(&mut self, context: &mut Context<'_>) -> Poll<Item> {
         loop {
             match std::mem::replace(&mut self.phase, Phase::Done) {
                 Phase::Done => return Poll::Ready(None),
-                Phase::Idle(mut flow) => {
+                Phase::Idle(mut stream) => {
                     self.phase = Phase::Busy(Box::pin(async move {
-                        let next = flow.next().await;
-                        (flow, next)
+                        let next = stream.next().await;
+                        (stream, next)
                     }));
                 }
-                Phase::Busy(mut step) => match step.as_mut().poll(context) {
+                Phase::Busy(mut future) => match future.as_mut().poll(context) {
                     Poll::Pending => {
-                        self.phase = Phase::Busy(step);
+                        self.phase = Phase::Busy(future);
                         return Poll::Pending;
                     }
-                    Poll::Ready((flow, next)) => {
+                    Poll::Ready((stream, next)) => {
                         if matches!(next, Some(Ok(_))) {
-                            self.phase = Phase::Idle(flow);
+                            self.phase = Phase::Idle(stream);
                         }
                         return Poll::Ready(next);
                     }
@@ -103,28 +104,28 @@
     }
 }
 
-/// An answer under way.
-struct Flow {
+/// State of an answer that is being forwarded.
+struct Stream {
     node: Rc<Node>,
     job: Rc<Job>,
     attempt: Option<Attempt>,
     splitter: Splitter,
     sends: u32,
-    begun: bool,
+    answering: bool,
     ended: bool,
-    pace: Pace,
+    timing: Timing,
 }
 
-/// When events came.
+/// Arrival times of events.
 #[derive(Clone, Copy, Debug, Default)]
-struct Pace {
+struct Timing {
     first: Option<Duration>,
     last: Duration,
     longest_pause: Duration,
 }
 
-impl Pace {
-    fn event(&mut self, now: Duration) {
+impl Timing {
+    fn record(&mut self, now: Duration) {
         if self.first.is_some() {
             self.longest_pause = self.longest_pause.max(now.saturating_sub(self.last));
         }
@@ -133,85 +134,85 @@
     }
 }
 
-impl Drop for Flow {
+impl Drop for Stream {
     fn drop(&mut self) {
         if !self.ended {
-            self.tell("caller_left", "caller_left");
+            self.report("caller_left", "caller_left");
         }
     }
 }
 
-/// What a target's body brings next.
-enum Piece {
+/// Result of reading from a target's body.
+enum Chunk {
     Bytes(Bytes),
     End,
     Failed(&'static str),
 }
 
-impl Flow {
-    async fn next(&mut self) -> Next {
+impl Stream {
+    async fn next(&mut self) -> Item {
         loop {
             if self.ended {
                 return None;
             }
-            match self.piece().await {
-                Piece::Bytes(bytes) => {
-                    self.heard();
-                    if let Some(whole) = self.splitter.push(bytes) {
-                        self.pace.event(self.node.now());
-                        return Some(Ok(whole));
+            match self.read_chunk().await {
+                Chunk::Bytes(bytes) => {
+                    self.record_data();
+                    if let Some(events) = self.splitter.push(bytes) {
+                        self.timing.record(self.node.now());
+                        return Some(Ok(events));
                     }
                 }
-                Piece::End => {
+                Chunk::End => {
                     let rest = self.splitter.take_rest();
                     self.finish();
                     return (!rest.is_empty()).then_some(Ok(rest));
                 }
-                Piece::Failed(reason) => {
-                    self.tell_cut(reason);
-                    if let Err(broken) = self.go_on(reason).await {
+                Chunk::Failed(reason) => {
+                    self.log_interruption(reason);
+                    if let Err(error) = self.resume(reason).await {
                         self.ended = true;
-                        self.tell("broken_off", broken.reason);
-                        return Some(Err(broken));
+                        self.report("broken_off", error.reason);
+                        return Some(Err(error));
                     }
                 }
             }
         }
     }
 
-    async fn piece(&mut self) -> Piece {
+    async fn read_chunk(&mut self) -> Chunk {
         let limit = self.limit();
         let Some(attempt) = &mut self.attempt else {
-            return Piece::Failed("no_attempt");
+            return Chunk::Failed("no_attempt");
         };
         match self.node.until(limit, attempt.body.frame()).await {
-            None if limit >= self.job.deadline => Piece::Failed("expired"),
-            None => Piece::Failed("silent"),
-            Some(None) => Piece::End,
-            Some(Some(Err(_))) => Piece::Failed(CLOSED),
-            Some(Some(Ok(frame))) => Piece::Bytes(frame.into_data().unwrap_or_default()),
+            None if limit >= self.job.deadline => Chunk::Failed("expired"),
+            None => Chunk::Failed("silent"),
+            Some(None) => Chunk::End,
+            Some(Some(Err(_))) => Chunk::Failed(CONNECTION_CLOSED),
+            Some(Some(Ok(frame))) => Chunk::Bytes(frame.into_data().unwrap_or_default()),
         }
     }
 
     fn limit(&self) -> Duration {
         let deadline = self.job.deadline;
-        if self.may_go_on() {
-            let silence = self.job.route.objective.mul_f64(SILENCE);
+        if self.is_resumable() {
+            let silence = self.job.route.objective.mul_f64(SILENCE_FACTOR);
             return deadline.min(self.node.now() + silence);
         }
         deadline
     }
 
-    fn may_go_on(&self) -> bool {
+    fn is_resumable(&self) -> bool {
         self.job.route.kind == Kind::Resumable && self.sends < self.job.route.attempts
     }
 
-    fn heard(&mut self) {
+    fn record_data(&mut self) {
         let Some(attempt) = &self.attempt else {
             return;
         };
         attempt.lease.heard();
-        if !std::mem::replace(&mut self.begun, true) {
+        if !std::mem::replace(&mut self.answering, true) {
             attempt.lease.read();
         }
     }
@@ -222,35 +223,35 @@
             attempt.lease.note(Outcome::Good);
             attempt.finish(&self.node);
         }
-        self.tell("answered", "complete");
+        self.report("answered", "complete");
     }
 
-    fn tell(&self, event: &str, reason: &str) {
+    fn report(&self, event: &str, reason: &str) {
         let node = &self.node;
         let line = node.journal.line(event).with("id", self.job.id.as_ref());
         let line = line.with("reason", reason).with("sends", self.sends);
         let line = line.with("last_event", self.splitter.last());
         let first = self
-            .pace
+            .timing
             .first
             .map(|it| millis(it.saturating_sub(self.job.arrived)));
         let line = line.with("first_ms", first);
-        let line = line.with_ms("longest_pause_ms", self.pace.longest_pause);
+        let line = line.with_ms("longest_pause_ms", self.timing.longest_pause);
         drop(line.with_ms("after_ms", node.now().saturating_sub(self.job.arrived)));
         node.metrics.add("streams", reason, 1);
         let route = &self.job.route.name;
-        if let Some(first) = self.pace.first {
+        if let Some(first) = self.timing.first {
             let time = first.saturating_sub(self.job.arrived);
             node.metrics.time("first_event_seconds", route, time);
             node.metrics
-                .time("longest_pause_seconds", route, self.pace.longest_pause);
+                .time("longest_pause_seconds", route, self.timing.longest_pause);
         }
-        let whole = node.now().saturating_sub(self.job.arrived);
-        node.metrics.time("answer_seconds", route, whole);
+        let total = node.now().saturating_sub(self.job.arrived);
+        node.metrics.time("answer_seconds", route, total);
     }
 
-    /// The answer broke off under its target.
-    fn tell_cut(&self, reason: &str) {
+    /// Logs that the answer broke off at its target.
+    fn log_interruption(&self, reason: &str) {
         let Some(attempt) = &self.attempt else {
             return;
         };
@@ -262,19 +263,19 @@
         drop(line.with("reason", reason));
     }
 
-    /// Goes on at another target, or says why that can't be. A target that turns it away has run
-    /// nothing, so the next one is asked.
-    async fn go_on(&mut self, reason: &'static str) -> Result<(), Broken> {
+    /// Resumes the stream at another target, or returns why that is not possible. A target that
+    /// refuses the request has not run it, so the next one is tried.
+    async fn resume(&mut self, reason: &'static str) -> Result<(), Broken> {
         drop(self.splitter.take_rest());
         let mut failed = self.end_attempt(reason);
         let mut reason = reason;
         if !self.may_resume() {
             return Err(Broken { reason });
         }
-        self.tell("resumed", reason);
+        self.report("resumed", reason);
         self.sends += 1;
-        self.begun = false;
-        for _ in 0..PLACES {
+        self.answering = false;
+        for _ in 0..MAX_RESUME_TARGETS {
             let until = self.job.deadline;
             let Ok(wish) = exchange::wish(&self.node, &self.job, failed, until) else {
                 return Err(Broken {
@@ -284,7 +285,7 @@
             let Ok(lease) = self.node.place(wish).await else {
                 return Err(Broken { reason: "no_room" });
             };
-            let tag = lease.target.tag();
+            let target = lease.target.tag();
             let limit = self.job.deadline;
             let last = self.splitter.last();
             match attempt::send(&self.node, &self.job, lease, last, limit).await {
@@ -298,7 +299,7 @@
                 }
                 Err(failure) => {
                     reason = failure.reason;
-                    failed = Some(tag);
+                    failed = Some(target);
                     let ran = !matches!(failure.verdict, Verdict::NotSent | Verdict::NotRun);
                     if ran || !self.may_repeat() {
                         break;
@@ -309,12 +310,12 @@
         Err(Broken { reason })
     }
 
-    /// Ends the work of an attempt that failed; its target.
+    /// Ends the work of an attempt that failed; returns its target.
     fn end_attempt(&mut self, reason: &'static str) -> Option<Tag> {
         let attempt = self.attempt.take()?;
         if reason != "expired" {
             attempt.lease.note(Outcome::Bad);
-            attempt.lease.cut(if reason == CLOSED {
+            attempt.lease.cut(if reason == CONNECTION_CLOSED {
                 Break::Closed
             } else {
                 Break::Silent
@@ -324,13 +325,14 @@
     }
 
     fn may_resume(&self) -> bool {
-        self.may_go_on() && self.may_repeat()
+        self.is_resumable() && self.may_repeat()
     }
 
-    /// Whether there is time to send it once more, it ends no target, and the budget allows it.
+    /// Whether there is time to send the request again, its content is not quarantined, and the
+    /// retry budget allows it.
     fn may_repeat(&self) -> bool {
         let expired = self.node.now() >= self.job.deadline;
-        let harmful = exchange::unsafe_to_send(&self.node, &self.job).is_some();
-        !expired && !harmful && self.node.may_repeat(&self.job.service)
+        let unsafe_to_send = exchange::unsafe_to_send(&self.node, &self.job).is_some();
+        !expired && !unsafe_to_send && self.node.may_repeat(&self.job.service)
     }
 }
