--- a/crates/path/src/cut.rs
+++ b/crates/path/src/cut.rs
@@ -1,10 +1,11 @@
-//! What became of a target under which an answer broke off.
+//! Detection of whether a target has terminated after an answer broke off.
 //!
-//! A connection that breaks off or falls silent may have been cut by the network, by a target
-//! that fails one request, or by its end. After a break a new connection tells: what is refused has
-//! ended, what is opened runs. After a silence, and where neither comes in time, the next request
-//! tells, or the platform's list, which targets are gone.
-//! What is found goes to the owner of the target's cell, which hears the same of all routers.
+//! A connection that is closed or silent may have been interrupted by the network, by a target that
+//! fails a single request, or by the termination of the target. After a closed connection a new one
+//! is opened: if it is refused, the target has terminated; if it is accepted, the target is alive.
+//! After a silence, and if the new connection is neither accepted nor refused in time, the next
+//! connection to the target or its removal from the platform's list resolves the state. Findings
+//! are sent to the owner of the target's cell, which receives them from all routers.
 
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -23,42 +24,42 @@
 use crate::pool::{self, Error};
 use crate::quarantine;
 
-/// Time for a new connection to a target whose answer broke off: a target that runs accepts one
-/// within some milliseconds, and behind a lost packet within a second.
-const PROBE: Duration = Duration::from_millis(1_200);
+/// Connect timeout of a probe. A live target accepts a connection within some milliseconds, and
+/// within a second after a lost packet.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// How a run ended without an answer.
+/// How an answer broke off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Break {
-    /// Its connection was closed.
+    /// The connection was closed.
     Closed,
-    /// Nothing came for too long.
+    /// No data was received in time.
     Silent,
 }
 
-/// Notes that a run of `content` at a target did not end with an answer.
+/// Records that a run of `content` at a target ended without a complete answer.
 pub(crate) fn note(node: &Rc<Node>, target: &Arc<Target>, cell: Cell, content: Digest, how: Break) {
     let now = node.now();
     let tag = target.tag();
-    let (asked, telling) = {
+    let (probing, report) = {
         let mut state = node.state.borrow_mut();
-        // A target that was to end, or is not listed any more, ends for no fault of its runs.
+        // A target that is leaving or is no longer listed does not terminate because of its runs.
         let known = state.registry.get(tag);
         if known.is_none_or(|it| it.state != Condition::Ready) {
             return;
         }
         state.answered.forget(content);
-        let asked = state.cuts.has_open(tag);
-        (asked, state.cuts.record(content, tag, cell, now))
+        let probing = state.cuts.has_open(tag);
+        (probing, state.cuts.record(content, tag, cell, now))
     };
-    tell(node, &[telling]);
-    if !asked && how == Break::Closed {
+    report_findings(node, &[report]);
+    if !probing && how == Break::Closed {
         tokio::task::spawn_local(probe(node.clone(), target.clone()));
     }
 }
 
 async fn probe(node: Rc<Node>, target: Arc<Target>) {
-    let opened = pool::open(target.address, PROBE).await;
+    let opened = pool::open(target.address, PROBE_TIMEOUT).await;
     node.metrics.add("connections", &target.service, 1);
     match opened {
         Ok(connection) => {
@@ -73,51 +74,56 @@
     }
 }
 
-/// A new connection to a target was opened.
+/// Resolves open runs at a target to which a new connection was opened.
 pub(crate) fn reached(node: &Node, target: &Target) {
-    settle(node, target, Resolution::Alive);
+    resolve(node, target, Resolution::Alive);
 }
 
-/// No connection to a target could be had. If it was refused, nobody listens there any more.
+/// Resolves open runs at a target to which no connection could be opened, if it was refused: then
+/// no process listens there any more.
 pub(crate) fn unreachable(node: &Node, target: &Target, error: &Error) {
     let refused = matches!(error, Error::Connect { source, .. }
         if source.kind() == ErrorKind::ConnectionRefused);
     if refused {
-        settle(node, target, Resolution::Ended);
+        resolve(node, target, Resolution::Ended);
     }
 }
 
-/// The platform lists a target no more.
+/// Resolves open runs at a target that the platform no longer lists.
 pub(crate) fn ended(node: &Node, target: &Target) {
-    // One that had said that it leaves has not ended under its runs.
-    let fate = if target.state == Condition::Leaving {
+    // A target that had announced that it is leaving was not terminated by its runs.
+    let resolution = if target.state == Condition::Leaving {
         Resolution::Alive
     } else {
         Resolution::Ended
     };
-    settle(node, target, fate);
+    resolve(node, target, resolution);
 }
 
-fn settle(node: &Node, target: &Target, fate: Resolution) {
-    let settled = node.state.borrow_mut().cuts.resolve(target.tag(), fate);
-    if settled.is_empty() {
+fn resolve(node: &Node, target: &Target, resolution: Resolution) {
+    let resolved = node
+        .state
+        .borrow_mut()
+        .cuts
+        .resolve(target.tag(), resolution);
+    if resolved.is_empty() {
         return;
     }
-    if fate == Resolution::Ended {
+    if resolution == Resolution::Ended {
         node.metrics.add("targets_down", &target.service, 1);
         let line = node.journal.line("target_down");
         let line = line.with("target", target.id.as_ref());
-        drop(line.with("runs", settled.len()));
+        drop(line.with("runs", resolved.len()));
     }
-    tell(node, &settled);
+    report_findings(node, &resolved);
 }
 
-/// Takes over what this router has found, and tells whoever owns the target's cell.
-fn tell(node: &Node, tellings: &[Report]) {
-    let Some(first) = tellings.first() else {
+/// Applies findings of this router and sends them to the owner of the target's cell.
+fn report_findings(node: &Node, reports: &[Report]) {
+    let Some(first) = reports.first() else {
         return;
     };
-    let findings: Vec<_> = tellings.iter().map(|it| it.finding).collect();
+    let findings: Vec<_> = reports.iter().map(|it| it.finding).collect();
     quarantine::hear(node, &findings);
     send(node, first.cell, findings);
 }
@@ -129,10 +135,10 @@
     }
 }
 
-/// Tells once more what may have been lost on its way.
+/// Sends again findings whose messages may have been lost.
 pub(crate) fn tell_again(node: &Node) {
-    let again = node.state.borrow_mut().cuts.next_repeats(node.now());
-    for cell in again.chunk_by(|one, next| one.cell == next.cell) {
+    let repeats = node.state.borrow_mut().cuts.next_repeats(node.now());
+    for cell in repeats.chunk_by(|one, next| one.cell == next.cell) {
         let findings = cell.iter().map(|it| it.finding);
         send(node, cell[0].cell, findings.collect());
     }
