--- a/crates/path/src/dialect.rs
+++ b/crates/path/src/dialect.rs
@@ -1,8 +1,8 @@
-//! What a frontend translates: heads of requests and answers.
+//! Interface for translating the heads of requests and answers.
 //!
-//! The data path knows HTTP, not the names of a platform's headers. A dialect
-//! reads a caller's head into a [`Call`], writes the head that a target gets,
-//! and reads a target's head into an [`Answer`].
+//! The data path is independent of the names of a platform's headers. A dialect parses a caller's
+//! head into a [`Call`], creates the headers that are sent to a target, and parses a target's head
+//! into an [`Answer`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,90 +13,89 @@
 use hyper::http::{request, response};
 use hyper::{HeaderMap, Uri};
 
-/// What a caller's head says.
+/// Parsed head of a caller's request.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Identity of this request; each try of a caller has its own.
+    /// Id of the request; each attempt of a caller has its own.
     pub id: Arc<str>,
-    /// Key of the customer.
+    /// Customer key, if there is one.
     pub key: Option<Arc<str>>,
-    /// Time that the caller will wait.
+    /// Timeout that the caller requests, if any.
     pub left: Option<Duration>,
     /// The prompt, if the request is for a model.
     pub prompt: Option<Prompt>,
-    /// Last event that the caller has of an earlier answer.
+    /// Id of the last event that the caller received of an earlier answer.
     pub resume_after: Option<u64>,
 }
 
-/// Why a head can't be read.
+/// A head or body that can't be parsed.
 #[derive(Clone, Debug)]
 pub struct Malformed {
-    /// What is wrong, for the log.
+    /// Reason, for the log.
     pub reason: &'static str,
 }
 
-/// What the head for a target says beside the caller's own.
+/// Information for a target that is added to the caller's headers.
 #[derive(Clone, Debug)]
 pub struct Dispatch<'a> {
-    /// Time that is left.
+    /// Time until the deadline.
     pub left: Duration,
-    /// Identity of the target that is meant.
+    /// Id of the intended target.
     pub target: &'a str,
-    /// Customer that holds the caller's key.
+    /// Customer that the caller's key belongs to.
     pub customer: Option<&'a str>,
-    /// Last event that the caller has got.
+    /// Id of the last event that was sent to the caller or that it had received before.
     pub resume_after: Option<u64>,
-    /// Engine from whose memory the target is to fetch what it lacks of the prompt.
+    /// Engine from whose cache the target fetches the missing part of the prompt's prefix.
     pub fetch: Option<SocketAddr>,
 }
 
-/// What a target's head says.
+/// Parsed head of a target's answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Identity of the request that it answers, if it names one.
+    /// Id of the request that it answers, if it contains one.
     pub id: Option<Arc<str>>,
-    /// Whether it bears the mark of a target's own answer.
+    /// Whether it contains the mark by which targets identify their answers.
     pub genuine: bool,
-    /// Whether it says that the request has not run.
+    /// Whether it states that the request has not run.
     pub not_run: bool,
-    /// Whether its target says that it is about to end.
+    /// Whether the target announces that it is leaving.
     pub leaving: bool,
-    /// For how long its target, which turned the request away, wants nothing more from this router;
-    /// none if it names no time.
+    /// Backoff time that the target, which refused the request, requests from this router, if any.
     pub backoff: Result<Option<Duration>, Malformed>,
 }
 
 impl Answer {
-    /// Whether it is surely the target's own, so that what it says of the target counts. Refusals
-    /// bear no mark.
+    /// Whether it is known to come from the target, so that its statements about the target are
+    /// accepted. Refusals contain no mark.
     #[must_use]
     pub fn own(&self) -> bool {
         self.not_run || (self.genuine && self.id.is_some())
     }
 }
 
-/// Translates heads.
+/// Translation between the heads of a platform and those of the data path.
 pub trait Dialect {
-    /// Reads a caller's head.
+    /// Parses a caller's head.
     ///
     /// # Errors
     ///
-    /// If the head can't be read.
+    /// If the head is malformed.
     fn call(&self, head: &request::Parts) -> Result<Call, Malformed>;
 
-    /// The headers for a target, from the caller's.
+    /// Creates the headers for a target from those of the caller.
     fn headers(&self, caller: &HeaderMap, dispatch: &Dispatch<'_>) -> HeaderMap;
 
-    /// Reads a target's head.
+    /// Parses a target's head.
     fn answer(&self, head: &response::Parts) -> Answer;
 
-    /// Path by which a model engine is asked about its memory.
-    fn cache_path(&self, question: Query) -> Uri;
+    /// Path of a query to a model engine for the state of its prefix cache.
+    fn cache_path(&self, query: Query) -> Uri;
 
-    /// Reads what it answers.
+    /// Parses the answer to a query.
     ///
     /// # Errors
     ///
-    /// If it can't be read.
-    fn cache_news(&self, question: Query, body: &[u8]) -> Result<Update, Malformed>;
+    /// If the answer is malformed.
+    fn cache_news(&self, query: Query, body: &[u8]) -> Result<Update, Malformed>;
 }
