--- a/crates/path/src/event.rs
+++ b/crates/path/src/event.rs
@@ -1,14 +1,15 @@
-//! Streams of events, cut at the ends of events.
+//! Splitting of server-sent event streams at event boundaries.
 //!
-//! Only whole events are passed on, so that a stream that breaks off in the
-//! middle of one can go on at another target without a torn event between.
+//! Only complete events are forwarded, so that a stream that breaks off within an event can be
+//! resumed at another target without a partial event in between.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Largest event that is put together; a longer one is passed on in pieces.
-const LONGEST: usize = 256 * 1024;
+/// Limit of the bytes that are buffered for an incomplete event; a longer event is forwarded in
+/// parts.
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Splits bytes into whole events and remembers the last event's number.
+/// Splits a byte stream into complete events and records the id of the last one.
 #[derive(Debug, Default)]
 pub struct Splitter {
     rest: BytesMut,
@@ -16,7 +17,7 @@
 }
 
 impl Splitter {
-    /// Nothing seen yet; `last` is the last event that the caller already has.
+    /// Creates a splitter; `last` is the id of the last event that the caller already has.
     #[must_use]
     pub fn new(last: Option<u64>) -> Self {
         Self {
@@ -25,32 +26,33 @@
         }
     }
 
-    /// Takes bytes; returns the whole events that they complete.
+    /// Appends bytes; returns the complete events, if any, or a part of an event that exceeds
+    /// [`MAX_EVENT_BYTES`].
     pub fn push(&mut self, bytes: Bytes) -> Option<Bytes> {
-        let whole = if self.rest.is_empty() && ends_event(&bytes) {
+        let events = if self.rest.is_empty() && ends_event(&bytes) {
             bytes
         } else {
             self.rest.extend_from_slice(&bytes);
-            let end = match last_end(&self.rest) {
+            let end = match last_event_end(&self.rest) {
                 Some(end) => end,
-                None if self.rest.len() > LONGEST => self.rest.len(),
+                None if self.rest.len() > MAX_EVENT_BYTES => self.rest.len(),
                 None => return None,
             };
             self.rest.split_to(end).freeze()
         };
-        if let Some(number) = last_number(&whole) {
-            self.last = Some(number);
+        if let Some(id) = last_event_id(&events) {
+            self.last = Some(id);
         }
-        Some(whole)
+        Some(events)
     }
 
-    /// The bytes of an event that is not whole; they are kept no longer.
+    /// Removes and returns the bytes of an incomplete event.
     pub fn take_rest(&mut self) -> Bytes {
         let length = self.rest.remaining();
         self.rest.split_to(length).freeze()
     }
 
-    /// Number of the last whole event.
+    /// Id of the last complete event.
     #[must_use]
     pub fn last(&self) -> Option<u64> {
         self.last
@@ -61,19 +63,21 @@
     bytes.ends_with(b"\n\n") || bytes.ends_with(b"\r\n\r\n")
 }
 
-fn last_end(bytes: &[u8]) -> Option<usize> {
-    let plain = rfind(bytes, b"\n\n");
-    let long = rfind(bytes, b"\r\n\r\n");
-    plain.max(long)
+fn last_event_end(bytes: &[u8]) -> Option<usize> {
+    let lf = rfind(bytes, b"\n\n");
+    let crlf = rfind(bytes, b"\r\n\r\n");
+    lf.max(crlf)
 }
 
-fn rfind(bytes: &[u8], mark: &[u8]) -> Option<usize> {
-    let at = bytes.windows(mark.len()).rposition(|it| it == mark)?;
-    Some(at + mark.len())
+fn rfind(bytes: &[u8], delimiter: &[u8]) -> Option<usize> {
+    let at = bytes
+        .windows(delimiter.len())
+        .rposition(|it| it == delimiter)?;
+    Some(at + delimiter.len())
 }
 
-fn last_number(events: &[u8]) -> Option<u64> {
+fn last_event_id(events: &[u8]) -> Option<u64> {
     let mut lines = events.rsplit(|byte| *byte == b'\n');
-    let number = lines.find_map(|line| line.strip_prefix(b"id:"))?;
-    std::str::from_utf8(number).ok()?.trim().parse().ok()
+    let id = lines.find_map(|line| line.strip_prefix(b"id:"))?;
+    std::str::from_utf8(id).ok()?.trim().parse().ok()
 }
