--- a/crates/path/src/pool.rs
+++ b/crates/path/src/pool.rs
@@ -1,8 +1,8 @@
-//! Connections to targets.
+//! Pool of connections to targets.
 //!
-//! A connection carries one request at a time and is kept for the next one for
-//! as long as the target says. The newest is used first, so that the others can
-//! end. A request for which no idle connection is left opens another one.
+//! A connection carries one request at a time and is then kept for as long as the target allows.
+//! The connection that was returned last is reused first, so that the others can expire. A request
+//! opens a new connection if there is no idle one.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -20,55 +20,54 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::task::AbortHandle;
 
-/// How long a target may leave sent bytes unacknowledged before the connection is given up.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1_200);
+/// Time for which sent bytes may remain unacknowledged before the system closes the connection.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Idle time after which the system probes whether the other end is still there, and the pause
-/// until the next probe; without an answer for [`UNACKNOWLEDGED`] the connection ends. The system
-/// counts whole seconds. So a connection that has gone silent is found within 2.2 s, whether it is
-/// kept or an answer is waited for on it.
-const PROBE: Duration = Duration::from_secs(1);
+/// Idle time before the first keep-alive probe, and interval of further probes, which the system
+/// counts in whole seconds. Without an answer for [`UNACKNOWLEDGED_TIMEOUT`] it closes the connection, so a
+/// dead connection is detected within 2.2 s, whether it is idle or waits for an answer.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long an idle connection is kept if its target names no time: it closes
-/// idle connections within less than the second that it could name.
+/// Retention of an idle connection if its target specifies no time. Such a target closes idle
+/// connections within less than a second, which is the shortest time that it could specify.
 pub(crate) const UNNAMED: Duration = Duration::from_millis(400);
 
-/// How much sooner than the target an idle connection is given up.
-const MARGIN: Duration = Duration::from_millis(500);
+/// Time before the target's own timeout at which an idle connection is closed.
+const CLOSE_MARGIN: Duration = Duration::from_millis(500);
 
-/// Why no connection could be had; nothing was sent.
+/// Error of opening a connection; no request was sent.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The target did not answer in time.
-    #[snafu(display("no connection to {address} within {} ms", timeout.as_millis()))]
+    /// The target did not accept the connection in time.
+    #[snafu(display("connecting to {address} timed out after {} ms", timeout.as_millis()))]
     Slow {
-        /// Where.
+        /// Address of the target.
         address: SocketAddr,
-        /// How long it was tried.
+        /// Connect timeout.
         timeout: Duration,
     },
-    /// The target refused, or the way to it is down.
-    #[snafu(display("no connection to {address}: {source}"))]
+    /// The target refused the connection or is unreachable.
+    #[snafu(display("cannot connect to {address}: {source}"))]
     Connect {
-        /// Where.
+        /// Address of the target.
         address: SocketAddr,
-        /// What the system says.
+        /// Error of the system.
         source: std::io::Error,
     },
-    /// The connection did not get ready.
-    #[snafu(display("connection to {address} failed at once: {source}"))]
+    /// The HTTP handshake failed.
+    #[snafu(display("HTTP handshake with {address} failed: {source}"))]
     Handshake {
-        /// Where.
+        /// Address of the target.
         address: SocketAddr,
-        /// What the library says.
+        /// Error of the HTTP library.
         source: hyper::Error,
     },
 }
 
-/// A connection in use; dropping it closes it.
+/// Connection to a target; closed when dropped.
 #[derive(Debug)]
 pub struct Connection {
-    /// Sends requests.
+    /// Sender of requests.
     pub sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
     /// Whether it has carried a request before.
@@ -94,13 +93,13 @@
 }
 
 impl Pool {
-    /// No connections.
+    /// Creates an empty pool.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// An idle connection to a target, if one is left.
+    /// Removes and returns an idle connection to a target, if there is one.
     pub fn take(&self, tag: Tag, now: Duration) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(&tag)?;
@@ -113,7 +112,7 @@
         None
     }
 
-    /// Keeps a connection for the next request.
+    /// Keeps a connection for later requests until `keep` has passed.
     pub fn put(&self, tag: Tag, mut connection: Connection, keep: Duration, now: Duration) {
         if connection.sender.is_closed() {
             return;
@@ -136,7 +135,7 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// Closes what is too old, and all connections to targets that `gone` names.
+    /// Closes expired connections, and all connections to targets for which `gone` returns true.
     pub fn trim(&self, now: Duration, gone: impl Fn(Tag) -> bool) {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|tag, list| {
@@ -150,7 +149,7 @@
 ///
 /// # Errors
 ///
-/// If there is none within `timeout`. Nothing was sent then.
+/// If no connection is established within `timeout`; no request was sent then.
 pub async fn open(address: SocketAddr, timeout: Duration) -> Result<Connection, Error> {
     let connecting = tokio::time::timeout(timeout, connect(address));
     let Ok(stream) = connecting.await else {
@@ -162,7 +161,7 @@
         .handshake(TokioIo::new(stream))
         .await;
     let (sender, connection) = handshake.context(HandshakeSnafu { address })?;
-    // How a connection ends is seen by the request that uses it.
+    // The request that uses the connection receives its errors.
     let task = tokio::task::spawn_local(async move { drop(connection.await) });
     Ok(Connection {
         sender,
@@ -180,30 +179,32 @@
     let stream = socket.connect(address).await?;
     stream.set_nodelay(true)?;
     let reference = socket2::SockRef::from(&stream);
-    reference.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
-    probe(&reference, PROBE)?;
+    reference.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
+    probe(&reference, KEEPALIVE_INTERVAL)?;
     Ok(stream)
 }
 
-/// Has the system probe a connection that is idle for `time`.
+/// Enables keep-alive probes after an idle time of `time` and at the same interval.
 ///
 /// # Errors
 ///
-/// If the system refuses.
+/// If the system rejects the option.
 pub fn probe(socket: &socket2::SockRef<'_>, time: Duration) -> std::io::Result<()> {
     let keepalive = TcpKeepalive::new().with_time(time).with_interval(time);
     socket.set_tcp_keepalive(&keepalive)
 }
 
-/// How long a connection may stay idle after an answer with these headers.
+/// Retention of an idle connection after an answer with these headers.
 #[must_use]
 pub fn keep(headers: &HeaderMap) -> Duration {
-    let named = headers.get("keep-alive").and_then(|it| it.to_str().ok());
-    let seconds = named.and_then(|text| {
+    let field = headers.get("keep-alive").and_then(|it| it.to_str().ok());
+    let seconds = field.and_then(|text| {
         let mut fields = text.split(',').map(str::trim);
         fields.find_map(|it| it.strip_prefix("timeout=")?.parse::<u64>().ok())
     });
     seconds.map_or(UNNAMED, |it| {
-        Duration::from_secs(it).saturating_sub(MARGIN).max(UNNAMED)
+        Duration::from_secs(it)
+            .saturating_sub(CLOSE_MARGIN)
+            .max(UNNAMED)
     })
 }
