--- a/crates/path/src/server.rs
+++ b/crates/path/src/server.rs
@@ -1,4 +1,4 @@
-//! Callers' connections, and the pages for the platform and operators.
+//! HTTP servers for callers, the platform's readiness checks and operators.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -21,25 +21,25 @@
 use crate::node::Node;
 use crate::pool;
 
-/// Connections that may wait to be accepted.
+/// Limit of connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
-/// Time for which an idle connection is kept before a configuration is known.
-const IDLE: Duration = Duration::from_secs(15);
+/// Idle timeout of callers' connections before a configuration is known.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Part of the callers' idle limit that is added, as they may use all of it.
+/// Added to the idle timeout of callers' connections, so that callers may use all of it.
 const IDLE_SLACK: Duration = Duration::from_secs(1);
 
-/// Idle time after which the system probes whether a caller is still there.
-const CALLER_PROBE: Duration = Duration::from_secs(5);
+/// Interval of keep-alive probes of callers' connections.
+const CALLER_KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Path at which operators list and lift what is quarantined.
-const QUARANTINE: &str = "/quarantine";
+/// Path at which operators list quarantined contents and lift a quarantine.
+const QUARANTINE_PATH: &str = "/quarantine";
 
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Why a port can't be served.
+/// Error of opening a listening socket.
 #[derive(Debug, Snafu)]
 #[snafu(display("cannot listen on {address}: {source}"))]
 pub struct Error {
@@ -47,11 +47,11 @@
     source: std::io::Error,
 }
 
-/// Opens a port.
+/// Opens a listening socket.
 ///
 /// # Errors
 ///
-/// If the address can't be had.
+/// If the address can't be bound.
 pub fn listen(address: SocketAddr) -> Result<TcpListener, Error> {
     bind(address).context(Snafu { address })
 }
@@ -75,27 +75,32 @@
                 let line = node.journal.line("accept_failed");
                 drop(line.with("error", error.to_string()));
                 node.note_refusing();
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Serves callers for as long as the router runs.
+/// Serves callers until the router terminates.
 pub async fn serve_callers(node: Rc<Node>, listener: TcpListener) {
     loop {
         let stream = accept(&node, &listener).await;
-        // Only a delay is lost if this fails.
+        // A failure only increases latency.
         drop(stream.set_nodelay(true));
-        // And with this, descriptors of callers that vanished, until the idle limit ends them.
-        drop(pool::probe(&socket2::SockRef::from(&stream), CALLER_PROBE));
+        // After a failure, connections of callers that are gone stay open until the idle timeout.
+        drop(pool::probe(
+            &socket2::SockRef::from(&stream),
+            CALLER_KEEPALIVE_INTERVAL,
+        ));
         tokio::task::spawn_local(serve_caller(node.clone(), stream));
     }
 }
 
 async fn serve_caller(node: Rc<Node>, stream: TcpStream) {
-    let open = Open::new(&node);
-    let idle = node.table().map_or(IDLE, |it| it.limits().idle_timeout);
+    let guard = OpenConnection::new(&node);
+    let idle = node
+        .table()
+        .map_or(DEFAULT_IDLE_TIMEOUT, |it| it.limits().idle_timeout);
     let head_bytes = node.table().map_or(16 * 1024, |it| it.limits().head_bytes);
     let server = node.clone();
     let service = service_fn(move |request: Request<Incoming>| {
@@ -110,64 +115,68 @@
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
-        // An answer that broke off has been told by its request.
+        // An answer that broke off was logged for its request.
         _ = connection.as_mut() => return,
         () = life::closing(&node) => connection.as_mut().graceful_shutdown(),
     }
     drop(connection.await);
-    drop(open);
+    drop(guard);
 }
 
-/// A caller's connection that is open.
-struct Open(Rc<Node>);
+/// Counts a caller's connection as open until it is dropped.
+struct OpenConnection(Rc<Node>);
 
-impl Open {
+impl OpenConnection {
     fn new(node: &Rc<Node>) -> Self {
         node.open.set(node.open.get() + 1);
         Self(node.clone())
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
     }
 }
 
-/// A page of the router itself.
+/// Page that the router serves.
 #[derive(Clone, Copy, Debug)]
 pub enum Page {
-    /// Whether callers should be sent here.
+    /// Readiness of the router for callers.
     Ready,
-    /// Counters.
+    /// Metrics, and the list of quarantined contents.
     Metrics,
 }
 
-/// Serves a page for as long as the router runs.
+/// Serves a page until the router terminates.
 pub async fn serve_page(node: Rc<Node>, listener: TcpListener, page: Page) {
     loop {
         let stream = accept(&node, &listener).await;
         let node = node.clone();
         tokio::task::spawn_local(async move {
             let service = service_fn(move |request: Request<Incoming>| {
-                let response = show(&node, page, &request);
+                let response = page_response(&node, page, &request);
                 async move { Ok::<_, Infallible>(response) }
             });
             let connection = http1::Builder::new()
                 .auto_date_header(false)
                 .serve_connection(TokioIo::new(stream), service);
-            // Whoever asks comes again if this fails.
+            // Clients of the page repeat failed requests.
             drop(connection.await);
         });
     }
 }
 
-fn show(node: &Rc<Node>, page: Page, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+fn page_response(
+    node: &Rc<Node>,
+    page: Page,
+    request: &Request<Incoming>,
+) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     match page {
         Page::Ready if node.ready() => {}
         Page::Ready => *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE,
-        Page::Metrics => match operate(node, request) {
+        Page::Metrics => match operator_response(node, request) {
             Ok(text) => *response.body_mut() = Full::new(Bytes::from(text)),
             Err(status) => *response.status_mut() = status,
         },
@@ -175,10 +184,10 @@
     response
 }
 
-/// What operators read and do at the address of the counters.
-fn operate(node: &Rc<Node>, request: &Request<Incoming>) -> Result<String, StatusCode> {
+/// Handles a request to the metrics address, where operators also list and lift quarantines.
+fn operator_response(node: &Rc<Node>, request: &Request<Incoming>) -> Result<String, StatusCode> {
     let path = request.uri().path();
-    let Some(content) = path.strip_prefix(QUARANTINE) else {
+    let Some(content) = path.strip_prefix(QUARANTINE_PATH) else {
         return Ok(node.metrics.text());
     };
     let content = content.trim_start_matches('/');
