--- a/crates/path/src/admission.rs
+++ b/crates/path/src/admission.rs
@@ -53,7 +53,8 @@
 ///
 /// # Errors
 ///
-/// If there is no configuration, no route or no service for the request, or if its key is unknown.
+/// If there is no configuration, no route or no service for the request, or if its key is missing
+/// or unknown.
 pub(crate) fn admit(
     node: &Rc<Node>,
     head: &request::Parts,
