--- a/crates/path/src/admission.rs
+++ b/crates/path/src/admission.rs
@@ -101,7 +101,7 @@
     let engine = table
         .service(&service)
         .is_some_and(|it| it.engine.is_some());
-    let left = call.left.unwrap_or(route.timeout);
+    let timeout = call.left.unwrap_or(route.timeout);
     let prompt = call.prompt.filter(|_| engine);
     let prompt = prompt.map(|it| Rc::new(it.compact()));
     let cost = prompt.as_deref().map_or(0, share::cost);
@@ -113,21 +113,21 @@
     let returning = {
         let mut state = node.state.borrow_mut();
         state.budget.record_request(&service, now);
-        state.tries.record(&route.name, left, route.timeout)
+        state.tries.record(&route.name, timeout, route.timeout)
     };
     Job {
         id: call.id,
         content: digest(&head, customer.as_deref(), &body),
         head,
         body,
-        deadline: arrived + left.min(route.timeout),
+        deadline: arrived + timeout.min(route.timeout),
         route,
         service,
         customer,
         allowed,
         prompt,
         cost,
-        caller_waits: left,
+        caller_waits: timeout,
         returning,
         arrived,
         resume_after: call.resume_after,
--- a/crates/path/src/pool.rs
+++ b/crates/path/src/pool.rs
@@ -24,8 +24,9 @@
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Idle time before the first keep-alive probe, and interval of further probes, which the system
-/// counts in whole seconds. Without an answer for [`UNACKNOWLEDGED_TIMEOUT`] it closes the connection, so a
-/// dead connection is detected within 2.2 s, whether it is idle or waits for an answer.
+/// counts in whole seconds. Without an answer for [`UNACKNOWLEDGED_TIMEOUT`] it closes the
+/// connection, so a dead connection is detected within 2.2 s, whether it is idle or waits for an
+/// answer.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Retention of an idle connection if its target specifies no time. Such a target closes idle
