--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -16,8 +16,8 @@
 use hyper::http::{request, response};
 use hyper::{Request, Response, StatusCode};
 
-use crate::cut::{self, Break};
 use crate::dialect::{Answer, Dispatch};
+use crate::interruption::{self, Break};
 use crate::lease::Lease;
 use crate::leaving;
 use crate::node::Node;
@@ -183,11 +183,11 @@
     let opened = pool::open(lease.target.address, timeout.min(left)).await;
     node.metrics.add("connections", &lease.target.service, 1);
     if opened.is_ok() {
-        cut::reached(node, &lease.target);
+        interruption::reached(node, &lease.target);
     }
     opened.map_err(|error| {
         lease.note(Outcome::Unreachable);
-        cut::unreachable(node, &lease.target, &error);
+        interruption::unreachable(node, &lease.target, &error);
         let line = node
             .journal
             .line("connect_failed")
--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -26,7 +26,7 @@
 
 use crate::admission;
 use crate::attempt::{self, Attempt, Failure, Job, Verdict};
-use crate::cut::Break;
+use crate::interruption::Break;
 use crate::lending;
 use crate::life;
 use crate::node::Node;
--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -14,7 +14,7 @@
 use dunlinward_dispatch::share::{Charge, Standing};
 use dunlinward_dispatch::target::Target;
 
-use crate::cut::{self, Break};
+use crate::interruption::{self, Break};
 use crate::node::Node;
 use crate::quarantine;
 
@@ -162,7 +162,7 @@
     /// The answer broke off or did not come: what became of its target is found out.
     pub fn cut(&self, how: Break) {
         if let (Some(node), Some(run)) = (self.node.upgrade(), self.run.take()) {
-            cut::note(&node, &self.target, self.cell, run.content, how);
+            interruption::note(&node, &self.target, self.cell, run.content, how);
         }
     }
 
--- a/crates/path/src/lib.rs
+++ b/crates/path/src/lib.rs
@@ -12,7 +12,7 @@
 //! - [`pool`], [`attempt`]: connections to targets, one attempt at a target.
 //! - [`event`], [`relay`]: streams of events, and how one goes on elsewhere.
 //! - [`place`], [`pending`], [`owner`]: a place asked of the router that owns a cell, and given there.
-//! - [`cut`]: what became of a target under which an answer broke off; [`quarantine`]: what is known of
+//! - [`interruption`]: what became of a target under which an answer broke off; [`quarantine`]: what is known of
 //!   contents under which targets end.
 //! - `leaving`: what targets say of their own leaving, and whom it is told.
 //! - [`memories`]: what engines say that they keep of prompts.
@@ -29,7 +29,6 @@
 pub mod attempt;
 pub mod clock;
 pub mod courier;
-pub mod cut;
 pub mod dialect;
 pub mod evacuation;
 pub mod event;
@@ -37,6 +36,7 @@
 pub mod flags;
 pub mod gossip;
 pub mod inbox;
+pub mod interruption;
 pub mod journal;
 pub mod lease;
 mod leaving;
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -18,7 +18,7 @@
 use dunlinward_dispatch::target::Tag;
 use dunlinward_dispatch::usage::Peer;
 
-use crate::cut;
+use crate::interruption;
 use crate::node::Node;
 use crate::quarantine;
 use crate::queue::Asker;
@@ -177,7 +177,7 @@
         for (owner, numbers) in node.pending.confirmations() {
             reports.entry(owner).or_default().accepted = numbers;
         }
-        cut::tell_again(&node);
+        interruption::tell_again(&node);
         for (address, work) in reports {
             node.send(address, Content::LoadReport(work));
         }
--- a/crates/path/src/relay.rs
+++ b/crates/path/src/relay.rs
@@ -18,9 +18,9 @@
 use snafu::Snafu;
 
 use crate::attempt::{self, Attempt, Job, Verdict};
-use crate::cut::Break;
 use crate::event::Splitter;
 use crate::exchange;
+use crate::interruption::Break;
 use crate::journal::millis;
 use crate::node::Node;
 
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -6,8 +6,8 @@
 use dunlinward_dispatch::store::Position;
 use dunlinward_dispatch::target::{Tag, Target};
 
-use crate::cut;
 use crate::gossip;
+use crate::interruption;
 use crate::node::{List, Node, STORE, Told};
 
 /// Source of a list that a peer has read.
@@ -106,7 +106,7 @@
 
     fn carry_out(&self, change: &Change) {
         if let Change::Ended(target) = change {
-            cut::ended(self, target);
+            interruption::ended(self, target);
             self.forget(target.tag());
         }
     }
@@ -203,7 +203,7 @@
             .borrow_mut()
             .registry
             .remove_replaced(target.tag());
-        cut::ended(self, target);
+        interruption::ended(self, target);
         self.forget(target.tag());
         let line = self.journal.line("target_replaced");
         drop(line.with("target", target.id.as_ref()));
