--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -17,7 +17,7 @@
 use hyper::{Request, Response, StatusCode};
 
 use crate::dialect::{Answer, Dispatch};
-use crate::interruption::{self, Break};
+use crate::interruption::{self, Cause};
 use crate::lease::Lease;
 use crate::leaving;
 use crate::node::Node;
@@ -214,7 +214,7 @@
     let Some(sent) = sent else {
         close_idle_if_reused(node, lease, &connection);
         lease.note(Outcome::Bad);
-        lease.cut(Break::Silent);
+        lease.cut(Cause::Silent);
         return Err(Failure::new(Verdict::Unknown, "no_answer"));
     };
     match sent {
@@ -229,7 +229,7 @@
             if !connection.used || node.now() > sent_at + IDLE_CLOSE_WINDOW {
                 lease.note(Outcome::Bad);
             }
-            lease.cut(Break::Closed);
+            lease.cut(Cause::Closed);
             Err(Failure::new(Verdict::Unknown, "broken_off"))
         }
     }
--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -26,7 +26,7 @@
 
 use crate::admission;
 use crate::attempt::{self, Attempt, Failure, Job, Verdict};
-use crate::interruption::Break;
+use crate::interruption::Cause;
 use crate::lending;
 use crate::life;
 use crate::node::Node;
@@ -388,8 +388,8 @@
         broken => {
             attempt.lease.note(Outcome::Bad);
             attempt.lease.cut(match broken {
-                Some(_) => Break::Closed,
-                None => Break::Silent,
+                Some(_) => Cause::Closed,
+                None => Cause::Silent,
             });
             return Err(Failure {
                 verdict: Verdict::Unknown,
--- a/crates/path/src/interruption.rs
+++ b/crates/path/src/interruption.rs
@@ -30,7 +30,7 @@
 
 /// How an answer broke off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Break {
+pub enum Cause {
     /// The connection was closed.
     Closed,
     /// No data was received in time.
@@ -38,7 +38,7 @@
 }
 
 /// Records that a run of `content` at a target ended without a complete answer.
-pub(crate) fn note(node: &Rc<Node>, target: &Arc<Target>, cell: Cell, content: Digest, how: Break) {
+pub(crate) fn note(node: &Rc<Node>, target: &Arc<Target>, cell: Cell, content: Digest, how: Cause) {
     let now = node.now();
     let tag = target.tag();
     let (probing, report) = {
@@ -53,7 +53,7 @@
         (probing, state.cuts.record(content, tag, cell, now))
     };
     report_findings(node, &[report]);
-    if !probing && how == Break::Closed {
+    if !probing && how == Cause::Closed {
         tokio::task::spawn_local(probe(node.clone(), target.clone()));
     }
 }
--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -14,7 +14,7 @@
 use dunlinward_dispatch::share::{Charge, Standing};
 use dunlinward_dispatch::target::Target;
 
-use crate::interruption::{self, Break};
+use crate::interruption::{self, Cause};
 use crate::node::Node;
 use crate::quarantine;
 
@@ -160,7 +160,7 @@
     }
 
     /// The answer broke off or did not come: what became of its target is found out.
-    pub fn cut(&self, how: Break) {
+    pub fn cut(&self, how: Cause) {
         if let (Some(node), Some(run)) = (self.node.upgrade(), self.run.take()) {
             interruption::note(&node, &self.target, self.cell, run.content, how);
         }
@@ -171,7 +171,7 @@
         if let Some(run) = self.run.get()
             && node.now().saturating_sub(run.heard) >= SILENT
         {
-            self.cut(Break::Silent);
+            self.cut(Cause::Silent);
         }
     }
 
--- a/crates/path/src/relay.rs
+++ b/crates/path/src/relay.rs
@@ -20,7 +20,7 @@
 use crate::attempt::{self, Attempt, Job, Verdict};
 use crate::event::Splitter;
 use crate::exchange;
-use crate::interruption::Break;
+use crate::interruption::Cause;
 use crate::journal::millis;
 use crate::node::Node;
 
@@ -316,9 +316,9 @@
         if reason != "expired" {
             attempt.lease.note(Outcome::Bad);
             attempt.lease.cut(if reason == CONNECTION_CLOSED {
-                Break::Closed
+                Cause::Closed
             } else {
-                Break::Silent
+                Cause::Silent
             });
         }
         Some(attempt.lease.target.tag())
