--- a/crates/path/src/interruption.rs
+++ b/crates/path/src/interruption.rs
@@ -38,7 +38,13 @@
 }
 
 /// Records that a run of `content` at a target ended without a complete answer.
-pub(crate) fn note(node: &Rc<Node>, target: &Arc<Target>, cell: Cell, content: Digest, how: Cause) {
+pub(crate) fn record(
+    node: &Rc<Node>,
+    target: &Arc<Target>,
+    cell: Cell,
+    content: Digest,
+    how: Cause,
+) {
     let now = node.now();
     let tag = target.tag();
     let (probing, report) = {
--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -162,7 +162,7 @@
     /// The answer broke off or did not come: what became of its target is found out.
     pub fn cut(&self, how: Cause) {
         if let (Some(node), Some(run)) = (self.node.upgrade(), self.run.take()) {
-            interruption::note(&node, &self.target, self.cell, run.content, how);
+            interruption::record(&node, &self.target, self.cell, run.content, how);
         }
     }
 
