--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -183,7 +183,7 @@
     let opened = pool::open(lease.target.address, timeout.min(left)).await;
     node.metrics.add("connections", &lease.target.service, 1);
     if opened.is_ok() {
-        interruption::reached(node, &lease.target);
+        interruption::record_connection(node, &lease.target);
     }
     opened.map_err(|error| {
         lease.note(Outcome::Unreachable);
--- a/crates/path/src/interruption.rs
+++ b/crates/path/src/interruption.rs
@@ -69,7 +69,7 @@
     node.metrics.add("connections", &target.service, 1);
     match opened {
         Ok(connection) => {
-            reached(&node, &target);
+            record_connection(&node, &target);
             let now = node.now();
             node.pool.put(target.tag(), connection, pool::UNNAMED, now);
         }
@@ -81,7 +81,7 @@
 }
 
 /// Resolves open runs at a target to which a new connection was opened.
-pub(crate) fn reached(node: &Node, target: &Target) {
+pub(crate) fn record_connection(node: &Node, target: &Target) {
     resolve(node, target, Resolution::Alive);
 }
 
