--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -187,7 +187,7 @@
     }
     opened.map_err(|error| {
         lease.note(Outcome::Unreachable);
-        interruption::unreachable(node, &lease.target, &error);
+        interruption::record_connect_error(node, &lease.target, &error);
         let line = node
             .journal
             .line("connect_failed")
--- a/crates/path/src/interruption.rs
+++ b/crates/path/src/interruption.rs
@@ -75,7 +75,7 @@
         }
         Err(error) => {
             node.note(&target, Outcome::Unreachable);
-            unreachable(&node, &target, &error);
+            record_connect_error(&node, &target, &error);
         }
     }
 }
@@ -87,7 +87,7 @@
 
 /// Resolves open runs at a target to which no connection could be opened, if it was refused: then
 /// no process listens there any more.
-pub(crate) fn unreachable(node: &Node, target: &Target, error: &Error) {
+pub(crate) fn record_connect_error(node: &Node, target: &Target, error: &Error) {
     let refused = matches!(error, Error::Connect { source, .. }
         if source.kind() == ErrorKind::ConnectionRefused);
     if refused {
