--- a/crates/path/src/interruption.rs
+++ b/crates/path/src/interruption.rs
@@ -96,7 +96,7 @@
 }
 
 /// Resolves open runs at a target that the platform no longer lists.
-pub(crate) fn ended(node: &Node, target: &Target) {
+pub(crate) fn record_removal(node: &Node, target: &Target) {
     // A target that had announced that it is leaving was not terminated by its runs.
     let resolution = if target.state == Condition::Leaving {
         Resolution::Alive
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -106,7 +106,7 @@
 
     fn carry_out(&self, change: &Change) {
         if let Change::Ended(target) = change {
-            interruption::ended(self, target);
+            interruption::record_removal(self, target);
             self.forget(target.tag());
         }
     }
@@ -203,7 +203,7 @@
             .borrow_mut()
             .registry
             .remove_replaced(target.tag());
-        interruption::ended(self, target);
+        interruption::record_removal(self, target);
         self.forget(target.tag());
         let line = self.journal.line("target_replaced");
         drop(line.with("target", target.id.as_ref()));
