--- a/crates/path/src/interruption.rs
+++ b/crates/path/src/interruption.rs
@@ -142,7 +142,7 @@
 }
 
 /// Sends again findings whose messages may have been lost.
-pub(crate) fn tell_again(node: &Node) {
+pub(crate) fn resend_findings(node: &Node) {
     let repeats = node.state.borrow_mut().cuts.next_repeats(node.now());
     for cell in repeats.chunk_by(|one, next| one.cell == next.cell) {
         let findings = cell.iter().map(|it| it.finding);
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -177,7 +177,7 @@
         for (owner, numbers) in node.pending.confirmations() {
             reports.entry(owner).or_default().accepted = numbers;
         }
-        interruption::tell_again(&node);
+        interruption::resend_findings(&node);
         for (address, work) in reports {
             node.send(address, Content::LoadReport(work));
         }
