--- a/crates/path/src/relay.rs
+++ b/crates/path/src/relay.rs
@@ -37,12 +37,12 @@
 /// Failure of an answer before its end, after which the caller's connection is closed.
 #[derive(Debug, Snafu)]
 #[snafu(display("answer is incomplete: {reason}"))]
-pub struct Broken {
+pub struct Error {
     /// Why.
     pub reason: &'static str,
 }
 
-type Item = Option<Result<Bytes, Broken>>;
+type Item = Option<Result<Bytes, Error>>;
 type NextFuture = Pin<Box<dyn Future<Output = (Box<Stream>, Item)>>>;
 
 enum Phase {
@@ -265,12 +265,12 @@
 
     /// Resumes the stream at another target, or returns why that is not possible. A target that
     /// refuses the request has not run it, so the next one is tried.
-    async fn resume(&mut self, reason: &'static str) -> Result<(), Broken> {
+    async fn resume(&mut self, reason: &'static str) -> Result<(), Error> {
         drop(self.splitter.take_rest());
         let mut failed = self.end_attempt(reason);
         let mut reason = reason;
         if !self.may_resume() {
-            return Err(Broken { reason });
+            return Err(Error { reason });
         }
         self.report("resumed", reason);
         self.sends += 1;
@@ -278,12 +278,12 @@
         for _ in 0..MAX_RESUME_TARGETS {
             let until = self.job.deadline;
             let Ok(wish) = exchange::wish(&self.node, &self.job, failed, until) else {
-                return Err(Broken {
+                return Err(Error {
                     reason: "no_target",
                 });
             };
             let Ok(lease) = self.node.place(wish).await else {
-                return Err(Broken { reason: "no_room" });
+                return Err(Error { reason: "no_room" });
             };
             let target = lease.target.tag();
             let limit = self.job.deadline;
@@ -295,7 +295,7 @@
                 }
                 Ok(_) => {
                     let reason = "not_resumed";
-                    return Err(Broken { reason });
+                    return Err(Error { reason });
                 }
                 Err(failure) => {
                     reason = failure.reason;
@@ -307,7 +307,7 @@
                 }
             }
         }
-        Err(Broken { reason })
+        Err(Error { reason })
     }
 
     /// Ends the work of an attempt that failed; returns its target.
--- a/crates/path/src/reply.rs
+++ b/crates/path/src/reply.rs
@@ -180,7 +180,7 @@
 
 impl Body for Content {
     type Data = Bytes;
-    type Error = crate::relay::Broken;
+    type Error = crate::relay::Error;
 
     fn poll_frame(
         self: Pin<&mut Self>,
