--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -31,7 +31,7 @@
 use crate::life;
 use crate::node::Node;
 use crate::relay::Relay;
-use crate::reply::{Content, Reason, Refusal};
+use crate::reply::{Payload, Reason, Refusal};
 use crate::state::{Claim, State, Wish};
 use crate::tell;
 
@@ -63,7 +63,7 @@
 ];
 
 /// Handles one request and returns the response to its caller.
-pub async fn serve(node: Rc<Node>, request: Request<Incoming>) -> Response<Content> {
+pub async fn serve(node: Rc<Node>, request: Request<Incoming>) -> Response<Payload> {
     node.look_for_wake();
     let arrived = node.now();
     let (head, body) = request.into_parts();
@@ -83,7 +83,7 @@
     head: request::Parts,
     body: Incoming,
     arrived: Duration,
-) -> Result<Response<Content>, Refusal> {
+) -> Result<Response<Payload>, Refusal> {
     let call = node.dialect.call(&head).map_err(|error| {
         let line = node.journal.line("refused").with("reason", "malformed");
         drop(line.with("error", error.reason));
@@ -243,7 +243,7 @@
     }
 }
 
-async fn run(node: &Rc<Node>, job: &Rc<Job>) -> Result<Response<Content>, Refusal> {
+async fn run(node: &Rc<Node>, job: &Rc<Job>) -> Result<Response<Payload>, Refusal> {
     let mut sends = 0;
     let mut exclude = None;
     let mut tries = 0;
@@ -350,7 +350,7 @@
     job: &Rc<Job>,
     attempt: Attempt,
     sends: u32,
-) -> Result<Response<Content>, Failure> {
+) -> Result<Response<Payload>, Failure> {
     if attempt.head.status.is_server_error() {
         let repeatable = job.route.kind == Kind::Idempotent && sends < job.route.attempts;
         if repeatable && node.may_repeat(&job.service) {
@@ -366,7 +366,7 @@
         let relay = Relay::new(node.clone(), job.clone(), attempt, sends);
         return Ok(Response::from_parts(
             head,
-            Content::Relayed(Box::new(relay)),
+            Payload::Relayed(Box::new(relay)),
         ));
     }
     read_whole(node, job, attempt, sends).await
@@ -379,7 +379,7 @@
     job: &Job,
     mut attempt: Attempt,
     sends: u32,
-) -> Result<Response<Content>, Failure> {
+) -> Result<Response<Payload>, Failure> {
     let limit = answer_limit(node, job, sends.saturating_sub(1));
     let reading = Limited::new(&mut attempt.body, MAX_ANSWER_BYTES).collect();
     let read = node.until(limit, reading).await;
@@ -413,7 +413,7 @@
     let total = node.now().saturating_sub(job.arrived);
     node.metrics.time("answer_seconds", &job.route.name, total);
     attempt.finish(node);
-    Ok(Response::from_parts(head, Content::Whole(body)))
+    Ok(Response::from_parts(head, Payload::Whole(body)))
 }
 
 fn response_head(head: &response::Parts, stream: bool) -> response::Parts {
--- a/crates/path/src/reply.rs
+++ b/crates/path/src/reply.rs
@@ -150,8 +150,8 @@
 
     /// Response to the caller.
     #[must_use]
-    pub fn response(self) -> Response<Content> {
-        let mut response = Response::new(Content::Whole(Bytes::new()));
+    pub fn response(self) -> Response<Payload> {
+        let mut response = Response::new(Payload::Whole(Bytes::new()));
         *response.status_mut() = self.reason.status();
         let headers = response.headers_mut();
         if let Some(time) = self.retry_after {
@@ -171,14 +171,14 @@
 }
 
 /// Body of a response.
-pub enum Content {
+pub enum Payload {
     /// Complete bytes.
     Whole(Bytes),
     /// Bytes that are forwarded from a target.
     Relayed(Box<Relay>),
 }
 
-impl Body for Content {
+impl Body for Payload {
     type Data = Bytes;
     type Error = crate::relay::Error;
 
