--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -413,7 +413,7 @@
     let total = node.now().saturating_sub(job.arrived);
     node.metrics.time("answer_seconds", &job.route.name, total);
     attempt.finish(node);
-    Ok(Response::from_parts(head, Payload::Whole(body)))
+    Ok(Response::from_parts(head, Payload::Complete(body)))
 }
 
 fn response_head(head: &response::Parts, stream: bool) -> response::Parts {
--- a/crates/path/src/reply.rs
+++ b/crates/path/src/reply.rs
@@ -151,7 +151,7 @@
     /// Response to the caller.
     #[must_use]
     pub fn response(self) -> Response<Payload> {
-        let mut response = Response::new(Payload::Whole(Bytes::new()));
+        let mut response = Response::new(Payload::Complete(Bytes::new()));
         *response.status_mut() = self.reason.status();
         let headers = response.headers_mut();
         if let Some(time) = self.retry_after {
@@ -173,7 +173,7 @@
 /// Body of a response.
 pub enum Payload {
     /// Complete bytes.
-    Whole(Bytes),
+    Complete(Bytes),
     /// Bytes that are forwarded from a target.
     Relayed(Box<Relay>),
 }
@@ -187,8 +187,8 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
         match self.get_mut() {
-            Self::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            Self::Whole(bytes) => {
+            Self::Complete(bytes) if bytes.is_empty() => Poll::Ready(None),
+            Self::Complete(bytes) => {
                 let bytes = std::mem::take(bytes);
                 Poll::Ready(Some(Ok(Frame::data(bytes))))
             }
@@ -199,12 +199,12 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(bytes) if bytes.is_empty())
+        matches!(self, Self::Complete(bytes) if bytes.is_empty())
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            Self::Complete(bytes) => SizeHint::with_exact(bytes.len() as u64),
             Self::Relayed(_) => SizeHint::default(),
         }
     }
