--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -330,7 +330,7 @@
         (Verdict::Unknown | Verdict::Repeat, false) => Reason::TargetFailed,
         (_, true) => Reason::ExpiredUnsent,
         (Verdict::NotSent, false) => Reason::NoTarget,
-        (Verdict::NotRun, false) => Reason::TurnedAway,
+        (Verdict::NotRun, false) => Reason::Rejected,
     };
     with_default_retry_after(node, job, Refusal::new(reason))
 }
--- a/crates/path/src/reply.rs
+++ b/crates/path/src/reply.rs
@@ -41,7 +41,7 @@
     /// The deadline has passed and the request may have run.
     Expired,
     /// Targets have refused to run it.
-    TurnedAway,
+    Rejected,
     /// A target failed and the request may have run.
     TargetFailed,
     /// The router is shutting down.
@@ -69,7 +69,7 @@
             Self::OverShare => "over_share",
             Self::ExpiredUnsent => "expired_unsent",
             Self::Expired => "expired",
-            Self::TurnedAway => "turned_away",
+            Self::Rejected => "turned_away",
             Self::TargetFailed => "target_failed",
             Self::Leaving => "leaving",
             Self::Suspected => "suspected",
@@ -94,7 +94,7 @@
             | Self::BackedOff
             | Self::OverShare
             | Self::ExpiredUnsent
-            | Self::TurnedAway
+            | Self::Rejected
             | Self::Leaving
             | Self::Suspected
             | Self::Quarantined => StatusCode::SERVICE_UNAVAILABLE,
