--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -137,7 +137,7 @@
     let limits = table.limits();
     let reading = Limited::new(body, limits.body_bytes).collect();
     match node.until(node.now() + limits.idle_timeout, reading).await {
-        None => Err(Refusal::new(Reason::SlowBody)),
+        None => Err(Refusal::new(Reason::BodyTimeout)),
         Some(Ok(body)) => Ok(body.to_bytes()),
         Some(Err(error)) if error.is::<LengthLimitError>() => Err(Refusal::new(Reason::TooLarge)),
         Some(Err(_)) => Err(Refusal::new(Reason::Malformed)),
--- a/crates/path/src/reply.rs
+++ b/crates/path/src/reply.rs
@@ -25,7 +25,7 @@
     /// The body exceeds the limit.
     TooLarge,
     /// The body was not received in time.
-    SlowBody,
+    BodyTimeout,
     /// No configuration is known yet.
     NoConfiguration,
     /// No target of the service is known or can be reached.
@@ -61,7 +61,7 @@
             Self::NoRoute => "no_route",
             Self::UnknownKey => "unknown_key",
             Self::TooLarge => "too_large",
-            Self::SlowBody => "slow_body",
+            Self::BodyTimeout => "slow_body",
             Self::NoConfiguration => "no_configuration",
             Self::NoTarget => "no_target",
             Self::Busy => "busy",
@@ -85,7 +85,7 @@
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::UnknownKey => StatusCode::UNAUTHORIZED,
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::SlowBody => StatusCode::REQUEST_TIMEOUT,
+            Self::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
             Self::Expired => StatusCode::GATEWAY_TIMEOUT,
             Self::TargetFailed => StatusCode::BAD_GATEWAY,
             Self::NoConfiguration
@@ -162,7 +162,7 @@
         }
         if matches!(
             self.reason,
-            Reason::TooLarge | Reason::SlowBody | Reason::Malformed
+            Reason::TooLarge | Reason::BodyTimeout | Reason::Malformed
         ) {
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
