--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -139,7 +139,9 @@
     match node.until(node.now() + limits.idle_timeout, reading).await {
         None => Err(Refusal::new(Reason::BodyTimeout)),
         Some(Ok(body)) => Ok(body.to_bytes()),
-        Some(Err(error)) if error.is::<LengthLimitError>() => Err(Refusal::new(Reason::TooLarge)),
+        Some(Err(error)) if error.is::<LengthLimitError>() => {
+            Err(Refusal::new(Reason::BodyTooLarge))
+        }
         Some(Err(_)) => Err(Refusal::new(Reason::Malformed)),
     }
 }
--- a/crates/path/src/reply.rs
+++ b/crates/path/src/reply.rs
@@ -23,7 +23,7 @@
     /// The key is missing or unknown, and the route requires one.
     UnknownKey,
     /// The body exceeds the limit.
-    TooLarge,
+    BodyTooLarge,
     /// The body was not received in time.
     BodyTimeout,
     /// No configuration is known yet.
@@ -60,7 +60,7 @@
             Self::Malformed => "malformed",
             Self::NoRoute => "no_route",
             Self::UnknownKey => "unknown_key",
-            Self::TooLarge => "too_large",
+            Self::BodyTooLarge => "too_large",
             Self::BodyTimeout => "slow_body",
             Self::NoConfiguration => "no_configuration",
             Self::NoTarget => "no_target",
@@ -84,7 +84,7 @@
             Self::Malformed => StatusCode::BAD_REQUEST,
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::UnknownKey => StatusCode::UNAUTHORIZED,
-            Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
             Self::Expired => StatusCode::GATEWAY_TIMEOUT,
             Self::TargetFailed => StatusCode::BAD_GATEWAY,
@@ -162,7 +162,7 @@
         }
         if matches!(
             self.reason,
-            Reason::TooLarge | Reason::BodyTimeout | Reason::Malformed
+            Reason::BodyTooLarge | Reason::BodyTimeout | Reason::Malformed
         ) {
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
