--- a/crates/path/src/event.rs
+++ b/crates/path/src/event.rs
@@ -54,7 +54,7 @@
 
     /// Id of the last complete event.
     #[must_use]
-    pub fn last(&self) -> Option<u64> {
+    pub fn last_id(&self) -> Option<u64> {
         self.last
     }
 }
--- a/crates/path/src/relay.rs
+++ b/crates/path/src/relay.rs
@@ -230,7 +230,7 @@
         let node = &self.node;
         let line = node.journal.line(event).with("id", self.job.id.as_ref());
         let line = line.with("reason", reason).with("sends", self.sends);
-        let line = line.with("last_event", self.splitter.last());
+        let line = line.with("last_event", self.splitter.last_id());
         let first = self
             .timing
             .first
@@ -287,7 +287,7 @@
             };
             let target = lease.target.tag();
             let limit = self.job.deadline;
-            let last = self.splitter.last();
+            let last = self.splitter.last_id();
             match attempt::send(&self.node, &self.job, lease, last, limit).await {
                 Ok(attempt) if attempt.head.status.is_success() => {
                     self.attempt = Some(attempt);
