--- a/crates/path/src/event.rs
+++ b/crates/path/src/event.rs
@@ -47,7 +47,7 @@
     }
 
     /// Removes and returns the bytes of an incomplete event.
-    pub fn take_rest(&mut self) -> Bytes {
+    pub fn take_incomplete(&mut self) -> Bytes {
         let length = self.rest.remaining();
         self.rest.split_to(length).freeze()
     }
--- a/crates/path/src/relay.rs
+++ b/crates/path/src/relay.rs
@@ -164,7 +164,7 @@
                     }
                 }
                 Chunk::End => {
-                    let rest = self.splitter.take_rest();
+                    let rest = self.splitter.take_incomplete();
                     self.finish();
                     return (!rest.is_empty()).then_some(Ok(rest));
                 }
@@ -266,7 +266,7 @@
     /// Resumes the stream at another target, or returns why that is not possible. A target that
     /// refuses the request has not run it, so the next one is tried.
     async fn resume(&mut self, reason: &'static str) -> Result<(), Error> {
-        drop(self.splitter.take_rest());
+        drop(self.splitter.take_incomplete());
         let mut failed = self.end_attempt(reason);
         let mut reason = reason;
         if !self.may_resume() {
