--- a/crates/path/src/interruption.rs
+++ b/crates/path/src/interruption.rs
@@ -71,7 +71,8 @@
         Ok(connection) => {
             record_connection(&node, &target);
             let now = node.now();
-            node.pool.put(target.tag(), connection, pool::UNNAMED, now);
+            node.pool
+                .put(target.tag(), connection, pool::DEFAULT_KEEP_ALIVE, now);
         }
         Err(error) => {
             node.note(&target, Outcome::Unreachable);
--- a/crates/path/src/pool.rs
+++ b/crates/path/src/pool.rs
@@ -31,7 +31,7 @@
 
 /// Retention of an idle connection if its target specifies no time. Such a target closes idle
 /// connections within less than a second, which is the shortest time that it could specify.
-pub(crate) const UNNAMED: Duration = Duration::from_millis(400);
+pub(crate) const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(400);
 
 /// Time before the target's own timeout at which an idle connection is closed.
 const CLOSE_MARGIN: Duration = Duration::from_millis(500);
@@ -203,9 +203,9 @@
         let mut fields = text.split(',').map(str::trim);
         fields.find_map(|it| it.strip_prefix("timeout=")?.parse::<u64>().ok())
     });
-    seconds.map_or(UNNAMED, |it| {
+    seconds.map_or(DEFAULT_KEEP_ALIVE, |it| {
         Duration::from_secs(it)
             .saturating_sub(CLOSE_MARGIN)
-            .max(UNNAMED)
+            .max(DEFAULT_KEEP_ALIVE)
     })
 }
