--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -162,7 +162,7 @@
     let (response, connection) =
         exchange(node, job, &lease, connection, resume_after, limit).await?;
     let (head, body) = response.into_parts();
-    let keep_alive = pool::keep(&head.headers);
+    let keep_alive = pool::keep_alive(&head.headers);
     validate(node, job, &lease, &head)?;
     Ok(Attempt {
         head,
--- a/crates/path/src/memories.rs
+++ b/crates/path/src/memories.rs
@@ -188,7 +188,7 @@
     let answer = tokio::time::timeout(TIMEOUT, answering).await;
     let (head, body) = answer.ok().context(SilentSnafu)??;
     node.pool
-        .put(tag, connection, pool::keep(&head.headers), node.now());
+        .put(tag, connection, pool::keep_alive(&head.headers), node.now());
     if head.status != StatusCode::OK {
         return StatusSnafu {
             status: head.status,
--- a/crates/path/src/pool.rs
+++ b/crates/path/src/pool.rs
@@ -197,7 +197,7 @@
 
 /// Retention of an idle connection after an answer with these headers.
 #[must_use]
-pub fn keep(headers: &HeaderMap) -> Duration {
+pub fn keep_alive(headers: &HeaderMap) -> Duration {
     let field = headers.get("keep-alive").and_then(|it| it.to_str().ok());
     let seconds = field.and_then(|text| {
         let mut fields = text.split(',').map(str::trim);
