--- a/crates/path/src/pool.rs
+++ b/crates/path/src/pool.rs
@@ -181,7 +181,7 @@
     stream.set_nodelay(true)?;
     let reference = socket2::SockRef::from(&stream);
     reference.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
-    probe(&reference, KEEPALIVE_INTERVAL)?;
+    set_keepalive(&reference, KEEPALIVE_INTERVAL)?;
     Ok(stream)
 }
 
@@ -190,7 +190,7 @@
 /// # Errors
 ///
 /// If the system rejects the option.
-pub fn probe(socket: &socket2::SockRef<'_>, time: Duration) -> std::io::Result<()> {
+pub fn set_keepalive(socket: &socket2::SockRef<'_>, time: Duration) -> std::io::Result<()> {
     let keepalive = TcpKeepalive::new().with_time(time).with_interval(time);
     socket.set_tcp_keepalive(&keepalive)
 }
--- a/crates/path/src/server.rs
+++ b/crates/path/src/server.rs
@@ -88,7 +88,7 @@
         // A failure only increases latency.
         drop(stream.set_nodelay(true));
         // After a failure, connections of callers that are gone stay open until the idle timeout.
-        drop(pool::probe(
+        drop(pool::set_keepalive(
             &socket2::SockRef::from(&stream),
             CALLER_KEEPALIVE_INTERVAL,
         ));
