--- a/crates/path/src/pool.rs
+++ b/crates/path/src/pool.rs
@@ -137,7 +137,7 @@
     }
 
     /// Closes expired connections, and all connections to targets for which `gone` returns true.
-    pub fn trim(&self, now: Duration, gone: impl Fn(Tag) -> bool) {
+    pub fn evict(&self, now: Duration, gone: impl Fn(Tag) -> bool) {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|tag, list| {
             list.retain(|it| now < it.until && !it.connection.sender.is_closed());
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -81,7 +81,7 @@
             gossip::spread(self);
         }
         if changed {
-            self.pool.trim(self.now(), |tag| self.gone(tag));
+            self.pool.evict(self.now(), |tag| self.gone(tag));
             self.room_came();
         }
     }
@@ -143,7 +143,7 @@
             .supersede(&target.id, born, now);
         if let Some(change) = change {
             self.apply_change(&change, "target", now);
-            self.pool.trim(now, |tag| self.gone(tag));
+            self.pool.evict(now, |tag| self.gone(tag));
             self.room_came();
         }
     }
