--- a/crates/path/src/pool.rs
+++ b/crates/path/src/pool.rs
@@ -41,7 +41,7 @@
 pub enum Error {
     /// The target did not accept the connection in time.
     #[snafu(display("connecting to {address} timed out after {} ms", timeout.as_millis()))]
-    Slow {
+    Timeout {
         /// Address of the target.
         address: SocketAddr,
         /// Connect timeout.
@@ -154,7 +154,7 @@
 pub async fn open(address: SocketAddr, timeout: Duration) -> Result<Connection, Error> {
     let connecting = tokio::time::timeout(timeout, connect(address));
     let Ok(stream) = connecting.await else {
-        return SlowSnafu { address, timeout }.fail();
+        return TimeoutSnafu { address, timeout }.fail();
     };
     let stream = stream.context(ConnectSnafu { address })?;
     let handshake = http1::Builder::new()
