--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -289,7 +289,7 @@
 
 /// Time limit for placing a request. It counts from now and not from the arrival, because by the
 /// time of a second try the request may have been at a target for longer than the limit.
-pub(crate) fn give_up_at(node: &Rc<Node>, job: &Job) -> Duration {
+pub(crate) fn placement_deadline(node: &Rc<Node>, job: &Job) -> Duration {
     let patience = &node.settings.patience;
     let part = if job.returning {
         patience.returning
--- a/crates/path/src/lending.rs
+++ b/crates/path/src/lending.rs
@@ -23,7 +23,7 @@
     job: &Job,
     failed: Option<Tag>,
 ) -> Result<Lease, Refusal> {
-    let until = exchange::give_up_at(node, job);
+    let until = exchange::placement_deadline(node, job);
     let wish = exchange::wish(node, job, failed, until)?;
     let cell = wish.cell;
     let refusal = match node.place(wish).await {
@@ -31,7 +31,7 @@
         Err(refusal) if short_of_room(refusal.reason) => refusal,
         Err(refusal) => return Err(refusal),
     };
-    let until = exchange::give_up_at(node, job);
+    let until = exchange::placement_deadline(node, job);
     let Some(wish) = exchange::wish_elsewhere(node, job, failed, cell, until) else {
         return Err(refusal);
     };
