--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -104,7 +104,7 @@
         .await
         .map_err(refused)?;
     let job = Rc::new(admission::job(node, head, body, call, admitted, arrived));
-    if let Some(refusal) = unsafe_to_send(node, &job) {
+    if let Some(refusal) = quarantine_refusal(node, &job) {
         tell::refusal(node, &job.id, arrived, refusal, Some(&job));
         return Err(refusal);
     }
@@ -123,7 +123,7 @@
 
 /// Refusal of a request whose content has terminated targets, or may have, and would terminate the
 /// next one; with the time after which it may be tried again.
-pub(crate) fn unsafe_to_send(node: &Rc<Node>, job: &Job) -> Option<Refusal> {
+pub(crate) fn quarantine_refusal(node: &Rc<Node>, job: &Job) -> Option<Refusal> {
     match node.standing_of(job.content) {
         Status::Free | Status::Suspect => None,
         Status::Held => {
@@ -312,7 +312,7 @@
 fn may_try_again(node: &Rc<Node>, job: &Job, failure: Failure, sends: u32, tries: u32) -> bool {
     let attempts = job.route.attempts;
     let exhausted = node.now() >= job.deadline || tries > attempts + EXTRA_TRIES;
-    if exhausted || unsafe_to_send(node, job).is_some() {
+    if exhausted || quarantine_refusal(node, job).is_some() {
         return false;
     }
     match failure.verdict {
--- a/crates/path/src/relay.rs
+++ b/crates/path/src/relay.rs
@@ -332,7 +332,7 @@
     /// retry budget allows it.
     fn may_repeat(&self) -> bool {
         let expired = self.node.now() >= self.job.deadline;
-        let unsafe_to_send = exchange::unsafe_to_send(&self.node, &self.job).is_some();
+        let unsafe_to_send = exchange::quarantine_refusal(&self.node, &self.job).is_some();
         !expired && !unsafe_to_send && self.node.may_repeat(&self.job.service)
     }
 }
