--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -165,7 +165,7 @@
 }
 
 /// Placement request for a job in another region than that of a cell that had no room for it.
-pub(crate) fn wish_elsewhere(
+pub(crate) fn placement_request_elsewhere(
     node: &Rc<Node>,
     job: &Job,
     failed: Option<Tag>,
--- a/crates/path/src/lending.rs
+++ b/crates/path/src/lending.rs
@@ -32,7 +32,7 @@
         Err(refusal) => return Err(refusal),
     };
     let until = exchange::placement_deadline(node, job);
-    let Some(wish) = exchange::wish_elsewhere(node, job, failed, cell, until) else {
+    let Some(wish) = exchange::placement_request_elsewhere(node, job, failed, cell, until) else {
         return Err(refusal);
     };
     let (cell, customer) = (wish.cell, wish.customer);
