--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -151,7 +151,7 @@
 /// # Errors
 ///
 /// If the job may run at no target.
-pub(crate) fn wish(
+pub(crate) fn placement_request(
     node: &Rc<Node>,
     job: &Job,
     failed: Option<Tag>,
@@ -161,7 +161,7 @@
     let state = node.state.borrow();
     let home = state.home(&job.service, draft.prefix, job.allowed, node.now());
     let cell = home.ok_or_else(|| Refusal::new(Reason::NoTarget))?;
-    Ok(draft.wish(&state, cell, failed, until))
+    Ok(draft.placement_request(&state, cell, failed, until))
 }
 
 /// Placement request for a job in another region than that of a cell that had no room for it.
@@ -176,7 +176,7 @@
     let state = node.state.borrow();
     let (customer, now) = (draft.customer(), node.now());
     let cell = state.home_elsewhere(full, draft.prefix, customer, job.allowed, now)?;
-    let wish = draft.wish(&state, cell, failed, until);
+    let wish = draft.placement_request(&state, cell, failed, until);
     Some(Wish {
         counted: true,
         ..wish
@@ -218,7 +218,13 @@
         customer.filter(|_| self.job.cost > 0).map(share::tag)
     }
 
-    fn wish(self, state: &State, cell: Cell, failed: Option<Tag>, until: Duration) -> Wish {
+    fn placement_request(
+        self,
+        state: &State,
+        cell: Cell,
+        failed: Option<Tag>,
+        until: Duration,
+    ) -> Wish {
         let customer = self.customer();
         let Self { node, job, .. } = self;
         let mut avoid = state.avoided(cell, node.now());
--- a/crates/path/src/lending.rs
+++ b/crates/path/src/lending.rs
@@ -24,7 +24,7 @@
     failed: Option<Tag>,
 ) -> Result<Lease, Refusal> {
     let until = exchange::placement_deadline(node, job);
-    let wish = exchange::wish(node, job, failed, until)?;
+    let wish = exchange::placement_request(node, job, failed, until)?;
     let cell = wish.cell;
     let refusal = match node.place(wish).await {
         Ok(lease) => return Ok(lease),
--- a/crates/path/src/relay.rs
+++ b/crates/path/src/relay.rs
@@ -277,7 +277,7 @@
         self.answering = false;
         for _ in 0..MAX_RESUME_TARGETS {
             let until = self.job.deadline;
-            let Ok(wish) = exchange::wish(&self.node, &self.job, failed, until) else {
+            let Ok(wish) = exchange::placement_request(&self.node, &self.job, failed, until) else {
                 return Err(Error {
                     reason: "no_target",
                 });
