--- a/crates/path/src/admission.rs
+++ b/crates/path/src/admission.rs
@@ -101,7 +101,7 @@
     let engine = table
         .service(&service)
         .is_some_and(|it| it.engine.is_some());
-    let timeout = call.left.unwrap_or(route.timeout);
+    let timeout = call.timeout.unwrap_or(route.timeout);
     let prompt = call.prompt.filter(|_| engine);
     let prompt = prompt.map(|it| Rc::new(it.compact()));
     let cost = prompt.as_deref().map_or(0, share::cost);
--- a/crates/path/src/dialect.rs
+++ b/crates/path/src/dialect.rs
@@ -21,7 +21,7 @@
     /// Customer key, if there is one.
     pub key: Option<Arc<str>>,
     /// Timeout that the caller requests, if any.
-    pub left: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The prompt, if the request is for a model.
     pub prompt: Option<Prompt>,
     /// Id of the last event that the caller received of an earlier answer.
