--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -277,7 +277,7 @@
     resume_after: Option<u64>,
 ) -> Request<Full<Bytes>> {
     let dispatch = Dispatch {
-        left: job.deadline.saturating_sub(node.now()),
+        remaining: job.deadline.saturating_sub(node.now()),
         target: &lease.target.id,
         customer: job.customer.as_deref(),
         resume_after,
--- a/crates/path/src/dialect.rs
+++ b/crates/path/src/dialect.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 pub struct Dispatch<'a> {
     /// Time until the deadline.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Id of the intended target.
     pub target: &'a str,
     /// Customer that the caller's key belongs to.
