--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -292,7 +292,7 @@
 
 /// Records what a target announces about itself, if the answer is known to come from it.
 fn record_announcements(node: &Rc<Node>, lease: &Lease, status: StatusCode, answer: &Answer) {
-    if !answer.own() {
+    if !answer.is_from_target() {
         return;
     }
     if answer.leaving {
--- a/crates/path/src/dialect.rs
+++ b/crates/path/src/dialect.rs
@@ -69,7 +69,7 @@
     /// Whether it is known to come from the target, so that its statements about the target are
     /// accepted. Refusals contain no mark.
     #[must_use]
-    pub fn own(&self) -> bool {
+    pub fn is_from_target(&self) -> bool {
         self.not_run || (self.genuine && self.id.is_some())
     }
 }
