--- a/crates/path/src/dialect.rs
+++ b/crates/path/src/dialect.rs
@@ -97,5 +97,5 @@
     /// # Errors
     ///
     /// If the answer is malformed.
-    fn cache_news(&self, query: Query, body: &[u8]) -> Result<Update, Malformed>;
+    fn cache_update(&self, query: Query, body: &[u8]) -> Result<Update, Malformed>;
 }
--- a/crates/path/src/memories.rs
+++ b/crates/path/src/memories.rs
@@ -195,7 +195,7 @@
         }
         .fail();
     }
-    let news = node.dialect.cache_news(question, &body);
+    let news = node.dialect.cache_update(question, &body);
     news.map_err(|error| Error::Malformed {
         reason: error.reason,
     })
