--- a/crates/path/src/admission.rs
+++ b/crates/path/src/admission.rs
@@ -127,7 +127,7 @@
         allowed,
         prompt,
         cost,
-        caller_waits: timeout,
+        caller_timeout: timeout,
         returning,
         arrived,
         resume_after: call.resume_after,
--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -65,7 +65,7 @@
     /// Tokens charged to its customer.
     pub cost: u64,
     /// Timeout that its caller requested, by default that of the route.
-    pub caller_waits: Duration,
+    pub caller_timeout: Duration,
     /// Whether it is taken for the retry of a request that was refused.
     pub returning: bool,
     /// When it arrived.
--- a/crates/path/src/tell.rs
+++ b/crates/path/src/tell.rs
@@ -69,7 +69,7 @@
         .with("route", job.route.name.as_ref())
         .with("customer", job.customer.as_deref())
         .with("returning", job.returning)
-        .with_ms("caller_waits_ms", job.caller_waits);
+        .with_ms("caller_waits_ms", job.caller_timeout);
     let Some(standing) = standing else {
         return line;
     };
