--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -1,11 +1,11 @@
-//! Finds a request a place at a target.
+//! Obtains a place at a target for a request.
 //!
-//! The owner of a cell places its requests, as it alone knows all that its targets
-//! have to do. A request is put to the owner in one datagram; the answer is a place,
-//! or that the request waits there. While it waits it is put again from time to
-//! time, so that a lost answer is made good. An owner that doesn't answer is passed
-//! over, and the next one is asked; when that one is silent too, this router places
-//! the request itself, with the part of the room that is its own if all routers did so.
+//! The owner of a cell places all requests to it, because only the owner knows the whole load of
+//! the cell's targets. A request is sent to the owner in one datagram. The owner answers with a
+//! place, or that the request waits in its queue. A waiting request is sent again at intervals, so
+//! that a lost answer is replaced. An owner that does not answer is skipped and the next one is
+//! asked. If that one is silent too, this router places the request itself, within the share of the
+//! capacity that it would have if all routers did the same.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,61 +24,62 @@
 use crate::reply::{Reason, Refusal};
 use crate::state::{Bar, Claim, Opening, Wish};
 
-/// Part of its objective within which a request must be answered by an owner.
-const ANSWER_PART: f64 = 0.1;
+/// Time within which an owner must answer, as a fraction of the request's objective.
+const ANSWER_OBJECTIVE_RATIO: f64 = 0.1;
 
-/// Shortest such time: some round trips between failure domains.
-const ANSWER_LEAST: Duration = Duration::from_millis(12);
+/// Lower limit of the answer time: some round trips between failure domains.
+const MIN_ANSWER_TIME: Duration = Duration::from_millis(12);
 
-/// Longest such time: more is worth losing to a busy owner than to one that is gone.
-const ANSWER_MOST: Duration = Duration::from_millis(30);
+/// Upper limit of the answer time: beyond it, waiting for an owner that has ended costs more than
+/// passing over one that is only busy.
+const MAX_ANSWER_TIME: Duration = Duration::from_millis(30);
 
-/// Part of its objective that a request may spend on the way to an owner and back.
-const WAY_PART: f64 = 0.25;
+/// Upper limit of the round trip to an owner, as a fraction of the request's objective.
+const ROUND_TRIP_OBJECTIVE_RATIO: f64 = 0.25;
 
-/// Times that one owner is asked before the next one is.
-const TRIES: u32 = 2;
+/// Unanswered requests to one owner before the next owner is asked.
+const MAX_UNANSWERED: u32 = 2;
 
-/// Owners that are asked before a router places a request itself.
-const OWNERS: u32 = 2;
+/// Silent owners after which a router places a request itself.
+const MAX_SILENT_OWNERS: u32 = 2;
 
-/// How often a request that waits is put to its owner again.
-const RENEWAL: Duration = Duration::from_millis(100);
+/// Interval at which a waiting request is sent to its owner again.
+const RESEND_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time over which callers come back to targets that want nothing until some moment.
+/// Range of the random extra delay of callers that return to backed-off targets.
 const RETURN_SPREAD: Duration = Duration::from_millis(300);
 
-/// How asking an owner ended.
-enum Asked {
+/// Result of asking an owner.
+enum Outcome {
     Placed(Lease),
-    GivenUp(Option<Wait>),
+    Refused(Option<Wait>),
     Unanswered,
-    /// The owner gave a place at a target of which this router knows better.
+    /// The owner granted a place at a target that this router must not use.
     Barred(Tag),
 }
 
 impl Node {
-    /// Finds a target for a request, now or until it is given up.
+    /// Obtains a place at a target, waiting for one until the request's deadline.
     ///
     /// # Errors
     ///
-    /// A refusal if there is no room in time.
+    /// A refusal if no place is available in time.
     pub async fn place(self: &Rc<Self>, mut wish: Wish) -> Result<Lease, Refusal> {
-        if let Some(refusal) = self.in_vain(&wish) {
+        if let Some(refusal) = self.early_refusal(&wish) {
             return Err(refusal);
         }
-        let mut unanswered = 0;
-        while unanswered < OWNERS {
+        let mut silent_owners = 0;
+        while silent_owners < MAX_SILENT_OWNERS {
             let owner = self.owner(&wish);
             if owner == self.settings.link {
                 return self.place_here(wish).await;
             }
-            match self.ask(owner, &wish).await {
-                Asked::Placed(lease) => return Ok(lease),
-                Asked::GivenUp(wait) => return Err(self.refusal(wait).with_owner(owner)),
-                // Each names another target, so this ends.
-                Asked::Barred(tag) if !wish.avoid.contains(&tag) => self.avoid(&mut wish, tag),
-                Asked::Barred(_) | Asked::Unanswered => unanswered += 1,
+            match self.request_from(owner, &wish).await {
+                Outcome::Placed(lease) => return Ok(lease),
+                Outcome::Refused(wait) => return Err(self.refusal(wait).with_owner(owner)),
+                // Each names another target, so the number of iterations is bounded.
+                Outcome::Barred(tag) if !wish.avoid.contains(&tag) => self.exclude(&mut wish, tag),
+                Outcome::Barred(_) | Outcome::Unanswered => silent_owners += 1,
             }
             wish.counted = true;
         }
@@ -87,9 +88,9 @@
         self.place_here(wish).await
     }
 
-    /// The refusal of a request for which no target can be had in its time. Callers come back one after
-    /// the other once one can.
-    fn in_vain(&self, wish: &Wish) -> Option<Refusal> {
+    /// Refusal of a request for which no target can become available before its deadline. If one
+    /// becomes available later, the callers' retry times are spread out.
+    fn early_refusal(&self, wish: &Wish) -> Option<Refusal> {
         let now = self.now();
         let opening = self.state.borrow().opening(wish.cell, now);
         match opening {
@@ -101,15 +102,15 @@
         }
     }
 
-    /// The refusal of a request whose targets want nothing for a time.
+    /// Refusal of a request while all its targets are backed off for `time`.
     pub(crate) fn backed_off(&self, time: Duration) -> Refusal {
         let spread = RETURN_SPREAD.mul_f64(self.draw_part());
         Refusal::new(Reason::BackedOff).with_retry_after(time + spread)
     }
 
-    /// The owner does not know of a target that must get nothing of this router, so it may not know of
-    /// the others either.
-    fn avoid(&self, wish: &mut Wish, tag: Tag) {
+    /// Excludes a target that the owner granted although this router must not use it. The owner may
+    /// not know of this router's other backed-off targets either, so they are excluded too.
+    fn exclude(&self, wish: &mut Wish, tag: Tag) {
         wish.avoid.push(tag);
         let backed_off = self.state.borrow().backed_off(wish.cell, self.now());
         let more = backed_off.into_iter().filter(|it| *it != tag);
@@ -121,52 +122,52 @@
         state.members.owner(wish.cell, self.now())
     }
 
-    async fn ask(self: &Rc<Self>, owner: SocketAddr, wish: &Wish) -> Asked {
-        let mut question = Question::new(self, owner);
-        let way = self.way_to(owner);
-        let time = answer_time(wish, way);
-        // What the way takes is no waiting for room.
-        let until = wish.until + way.mean.min(longest_answer(wish));
-        let mut silent = 0;
-        let mut waits = None;
+    async fn request_from(self: &Rc<Self>, owner: SocketAddr, wish: &Wish) -> Outcome {
+        let mut query = Query::new(self, owner);
+        let round_trip = self.round_trip_to(owner);
+        let time = answer_timeout(wish, round_trip);
+        // The round trip does not count as time spent waiting for capacity.
+        let until = wish.until + round_trip.mean.min(max_round_trip(wish));
+        let mut unanswered = 0;
+        let mut last_wait = None;
         loop {
-            question.put(wish);
-            match question.listen(time, until).await {
-                Some(Answer::Grant(grant)) => return question.accept(wish, grant),
+            query.send(wish);
+            match query.receive(time, until).await {
+                Some(Answer::Grant(grant)) => return query.accept(wish, grant),
                 Some(Answer::Wait(wait)) if wait.unavailable_for.is_some() => {
-                    return Asked::GivenUp(Some(wait));
+                    return Outcome::Refused(Some(wait));
                 }
                 Some(Answer::Wait(wait)) => {
-                    silent = 0;
-                    waits = Some(wait);
-                    let next = question.listen(RENEWAL, until).await;
+                    unanswered = 0;
+                    last_wait = Some(wait);
+                    let next = query.receive(RESEND_INTERVAL, until).await;
                     if let Some(Answer::Grant(grant)) = next {
-                        return question.accept(wish, grant);
+                        return query.accept(wish, grant);
                     }
                 }
-                None => silent += 1,
+                None => unanswered += 1,
             }
             if self.now() >= until {
-                return Asked::GivenUp(waits);
+                return Outcome::Refused(last_wait);
             }
-            if silent > 0 {
-                let passed = self.missed(owner);
-                if passed || silent >= TRIES {
-                    return Asked::Unanswered;
+            if unanswered > 0 {
+                let skipped = self.record_unanswered(owner);
+                if skipped || unanswered >= MAX_UNANSWERED {
+                    return Outcome::Unanswered;
                 }
             }
         }
     }
 
-    /// How long the way to a router and back takes; nothing as long as that is not known.
-    fn way_to(&self, owner: SocketAddr) -> RoundTrip {
+    /// Round trip to a router; zero while it is unknown.
+    fn round_trip_to(&self, owner: SocketAddr) -> RoundTrip {
         let state = self.state.borrow();
         let domain = state.members.domain(owner);
-        let way = domain.and_then(|it| state.round_trips.to(&it));
-        way.unwrap_or_default()
+        let round_trip = domain.and_then(|it| state.round_trips.to(&it));
+        round_trip.unwrap_or_default()
     }
 
-    /// The refusal of a request that its owner had no place for.
+    /// Refusal of a request for which its owner had no place.
     fn refusal(&self, wait: Option<Wait>) -> Refusal {
         let standing = wait.and_then(|it| it.standing);
         let closed_for = wait.and_then(|it| it.unavailable_for);
@@ -177,21 +178,21 @@
         refusal.with_standing(standing)
     }
 
-    fn missed(&self, owner: SocketAddr) -> bool {
+    fn record_unanswered(&self, owner: SocketAddr) -> bool {
         self.metrics.add("owner_misses", "unanswered", 1);
-        let passed = self
+        let skipped = self
             .state
             .borrow_mut()
             .members
             .record_miss(owner, self.now());
-        if passed {
+        if skipped {
             let line = self.journal.line("owner_passed_over");
             drop(line.with("peer", owner.to_string()));
         }
-        passed
+        skipped
     }
 
-    /// Takes an owner's answer; a place that nobody waits for is given back.
+    /// Delivers an owner's answer; declines the place if its request no longer waits.
     pub(crate) fn answer(&self, from: SocketAddr, number: u64, answer: Answer) {
         self.state.borrow_mut().members.record_answer(from);
         if !self.pending.answer(number, answer) {
@@ -199,31 +200,31 @@
                 self.metrics
                     .time("late_answer_seconds", answer.label(), time);
             }
-            self.give_back(from, answer);
+            self.decline(from, answer);
         }
     }
 
-    /// Says that a place is not used, also if that was said before: the word may have been lost.
-    fn give_back(&self, giver: SocketAddr, answer: Answer) {
+    /// Declines a place, also if it was declined before: an earlier message may have been lost.
+    fn decline(&self, granter: SocketAddr, answer: Answer) {
         if let Answer::Grant(grant) = answer {
-            self.send(giver, Content::Withdraw(grant.number));
+            self.send(granter, Content::Withdraw(grant.number));
         }
     }
 }
 
-/// How long an owner may take to answer: longer than usual only where the way to it is longer.
-fn answer_time(wish: &Wish, way: RoundTrip) -> Duration {
-    let time = wish.objective.mul_f64(ANSWER_PART);
-    let time = time.clamp(ANSWER_LEAST, ANSWER_MOST);
-    time.max(way.timeout.min(longest_answer(wish)))
+/// Time that an owner has to answer; longer than [`MAX_ANSWER_TIME`] only if the round trip is.
+fn answer_timeout(wish: &Wish, round_trip: RoundTrip) -> Duration {
+    let time = wish.objective.mul_f64(ANSWER_OBJECTIVE_RATIO);
+    let time = time.clamp(MIN_ANSWER_TIME, MAX_ANSWER_TIME);
+    time.max(round_trip.timeout.min(max_round_trip(wish)))
 }
 
-/// The longest way to an owner that leaves enough of the objective for the answer itself.
-fn longest_answer(wish: &Wish) -> Duration {
-    wish.objective.mul_f64(WAY_PART)
+/// Longest round trip to an owner that leaves enough of the objective for the answer itself.
+fn max_round_trip(wish: &Wish) -> Duration {
+    wish.objective.mul_f64(ROUND_TRIP_OBJECTIVE_RATIO)
 }
 
-/// Why a request that found no room is refused.
+/// Reason for refusing a request that found no capacity.
 #[must_use]
 pub fn reason(standing: Option<Standing>) -> Reason {
     let beyond = standing.is_some_and(|it| it.level.is_some_and(|level| it.granted >= level));
@@ -234,19 +235,19 @@
     }
 }
 
-/// A request that has been put to an owner. Dropping it withdraws the request, and with it a place
-/// that it may have been given.
-struct Question<'a> {
+/// A request that was sent to an owner. Dropping it withdraws the request and declines a place
+/// granted for it.
+struct Query<'a> {
     node: &'a Rc<Node>,
     owner: SocketAddr,
     number: u64,
-    /// When it was first put.
+    /// When it was first sent.
     asked: Duration,
     answers: mpsc::UnboundedReceiver<Answer>,
     accepted: bool,
 }
 
-impl<'a> Question<'a> {
+impl<'a> Query<'a> {
     fn new(node: &'a Rc<Node>, owner: SocketAddr) -> Self {
         let (number, answers) = node.pending.put();
         Self {
@@ -259,9 +260,9 @@
         }
     }
 
-    fn put(&self, wish: &Wish) {
+    fn send(&self, wish: &Wish) {
         let now = self.node.now();
-        let ask = Request {
+        let request = Request {
             number: self.number,
             cell: wish.cell,
             content: wish.content,
@@ -276,39 +277,40 @@
             failed: wish.failed,
             avoid: wish.avoid.clone(),
         };
-        self.node.send(self.owner, Content::Request(ask));
+        self.node.send(self.owner, Content::Request(request));
     }
 
-    async fn listen(&mut self, time: Duration, until: Duration) -> Option<Answer> {
+    async fn receive(&mut self, time: Duration, until: Duration) -> Option<Answer> {
         let limit = until.min(self.node.now() + time);
         if let Some(answer) = self.node.until(limit, self.answers.recv()).await {
             return answer;
         }
-        // Timers of a router that is late fire before it has read what came in time. A turn of the
-        // event loop, at the end of the wait, says what has come, and it is read here, as the reader of all messages may have
-        // its turn only after this: customers with a late router got 0.84 to 0.94 of the best
-        // served one in six seconds, and 0.63 to 0.91 without; places that came too late fell from
-        // 12 to 25 M tokens to 3 to 4 M (24 s of a flood, 85 routers).
+        // On a late router, timers fire before the messages that came in time have been read.
+        // `until` has yielded to the event loop once after the deadline, so they are available, but
+        // the task that reads all messages may run only after this one, so they are read here. With
+        // this, customers of a late router got 0.84 to 0.94 of the best served customer within six
+        // seconds, without it 0.63 to 0.91. Places granted too late fell from 12 to 25 M tokens to
+        // 3 to 4 M (24 s of a flood, 85 routers).
         inbox::read(self.node);
         self.answers.try_recv().ok()
     }
 
-    fn accept(mut self, wish: &Wish, grant: Grant) -> Asked {
+    fn accept(mut self, wish: &Wish, grant: Grant) -> Outcome {
         self.accepted = true;
         let now = self.node.now();
         let known = self.node.state.borrow().registry.get(grant.tag).cloned();
-        // The views of routers differ for the time of a greeting.
+        // Routers' views differ until the next heartbeat.
         let Some(target) = known else {
             self.node.metrics.add("places_unknown", "target", 1);
-            self.node.give_back(self.owner, Answer::Grant(grant));
-            return Asked::Unanswered;
+            self.node.decline(self.owner, Answer::Grant(grant));
+            return Outcome::Unanswered;
         };
         let state = self.node.state.borrow();
         let bar = state.barred(&target, wish.allowed, now);
         drop(state);
         if let Some(bar) = bar {
             self.refuse(grant, &target, bar);
-            return Asked::Barred(grant.tag);
+            return Outcome::Barred(grant.tag);
         }
         let fetch = {
             let mut state = self.node.state.borrow_mut();
@@ -332,12 +334,12 @@
             standing: grant.standing,
         };
         self.node.pending.accept(self.owner, grant.number);
-        Asked::Placed(Lease::new(self.node, place))
+        Outcome::Placed(Lease::new(self.node, place))
     }
 }
 
-impl Question<'_> {
-    /// Gives a place back that must not be used.
+impl Query<'_> {
+    /// Declines a place at a target that must not be used.
     fn refuse(&self, grant: Grant, target: &Target, bar: Bar) {
         let node = self.node;
         node.metrics.add("places_barred", bar.name(), 1);
@@ -345,11 +347,11 @@
         let line = line.with("owner", self.owner.to_string());
         let line = line.with("target", target.id.as_ref());
         drop(line.with("reason", bar.name()));
-        node.give_back(self.owner, Answer::Grant(grant));
+        node.decline(self.owner, Answer::Grant(grant));
     }
 }
 
-impl Drop for Question<'_> {
+impl Drop for Query<'_> {
     fn drop(&mut self) {
         self.node.pending.close(self.number);
         if !self.accepted {
--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -1,10 +1,10 @@
 //! The queue of requests that wait at the owner of their cell.
 //!
-//! A request that finds no room waits here, not at a target: what was sent can't
-//! be put in another order or taken back. Whenever room may have come (a request
-//! ended, a prompt was read, a router reported, the views changed) the queue is
-//! gone through in order: customers within their share first, then callers that
-//! were not refused before, as only they can still be answered in time, then by arrival.
+//! A request that finds no capacity waits here and not at a target, because a request that was
+//! sent can't be reordered or taken back. Whenever capacity may have become available (a request
+//! ended, a prompt was read, a router reported, the views changed), the queue is served in this
+//! order: customers within their share first, then callers that were not refused before, as only
+//! they can still be answered in time, then by arrival.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,12 +21,12 @@
 use crate::state::Wish;
 
 /// Shortest time between two passes over the queue.
-const FILL_PAUSE: Duration = Duration::from_millis(3);
+const PASS_INTERVAL: Duration = Duration::from_millis(3);
 
-/// Where a request that waits came from.
+/// Origin of a waiting request.
 #[derive(Debug)]
 pub(crate) enum Origin {
-    /// This router's own callers.
+    /// A caller of this router.
     Here(oneshot::Sender<Lease>),
     /// Another router.
     Peer(Asker),
@@ -42,13 +42,13 @@
 }
 
 impl Origin {
-    /// Whether it is a certain request of another router.
+    /// Whether it is the request `number` of the router `peer`.
     pub(crate) fn is(&self, peer: Peer, number: u64) -> bool {
         matches!(self, Self::Peer(it) if it.peer == peer && it.number == number)
     }
 }
 
-/// A request that waits for room.
+/// A request that waits for capacity.
 pub(crate) struct Waiter {
     pub(crate) wish: Wish,
     pub(crate) cover: f64,
@@ -56,7 +56,7 @@
 }
 
 impl Waiter {
-    /// Whether nobody waits for it any more.
+    /// Whether its caller has left or its deadline has passed.
     pub(crate) fn given_up(&self, now: Duration) -> bool {
         match &self.origin {
             Origin::Here(reply) => reply.is_closed(),
@@ -66,8 +66,8 @@
 }
 
 impl Node {
-    /// Places a request of this router's callers at once, if this router knows of room.
-    fn place_now(self: &Rc<Self>, wish: &Wish) -> Option<Lease> {
+    /// Places a request of this router's callers at once, if this router knows of capacity.
+    fn try_place(self: &Rc<Self>, wish: &Wish) -> Option<Lease> {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let cover = state.cover(wish, now);
@@ -87,7 +87,7 @@
             return Err(Refusal::new(Reason::Suspected));
         }
         wish.returning |= self.state.borrow().returns(&wish, self.now());
-        if let Some(lease) = self.place_now(&wish) {
+        if let Some(lease) = self.try_place(&wish) {
             return Ok(lease);
         }
         let now = self.now();
@@ -109,7 +109,7 @@
         if let Some(Ok(lease)) = self.until(until, receiver).await {
             return Ok(lease);
         }
-        // Its time is over, or the queue has given it up by dropping its sender.
+        // Its deadline has passed, or the queue has dropped its sender.
         let standing = customer.map(|it| self.standing(it));
         let refusal = Refusal::new(place::reason(standing));
         Err(refusal.with_standing(standing))
@@ -117,36 +117,36 @@
 
     /// Serves the queue for as long as the router runs.
     pub async fn serve_queue(self: Rc<Self>) {
-        let mut passed_at = Duration::ZERO;
+        let mut last_pass = Duration::ZERO;
         loop {
-            self.room_may_be(passed_at).await;
-            passed_at = self.now();
-            self.fill();
-            tokio::time::sleep(FILL_PAUSE).await;
+            self.wait_for_capacity(last_pass).await;
+            last_pass = self.now();
+            self.run_pass();
+            tokio::time::sleep(PASS_INTERVAL).await;
         }
     }
 
-    /// Waits until room may have come for what waits: something has changed, or a target that refused
-    /// requests may be asked again. What ended since the last pass counts, also if that is over by now.
-    async fn room_may_be(&self, passed_at: Duration) {
+    /// Waits until capacity may have become available for the queue: something has changed, or the
+    /// backoff of a target has ended. A backoff that ended since the last pass counts too.
+    async fn wait_for_capacity(&self, last_pass: Duration) {
         let end = {
             let state = self.state.borrow();
             let waits = !state.queue.is_empty();
-            let end = state.backoffs.next_expiry(passed_at);
+            let end = state.backoffs.next_expiry(last_pass);
             end.filter(|_| waits)
         };
         match end {
-            // Whichever comes first: the queue is gone through either way.
+            // The queue is served in either case.
             Some(end) => drop(self.until(end, self.room.notified()).await),
             None => self.room.notified().await,
         }
     }
 
-    fn fill(self: &Rc<Self>) {
+    fn run_pass(self: &Rc<Self>) {
         let now = self.now();
         let pass = self.state.borrow_mut().pass(&self.settings, now);
         for (reply, place) in pass.here {
-            // If the caller has left, the lease comes back and is dropped.
+            // If the caller has left, the lease is returned and dropped.
             drop(reply.send(Lease::new(self, place)));
         }
         for (address, grant) in pass.peers {
