--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -1,4 +1,4 @@
-//! A place at a target, from sending to the end of the answer.
+//! A place at a target, from sending the request to the end of the answer.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -18,25 +18,25 @@
 use crate::node::Node;
 use crate::quarantine;
 
-/// Silence of a target before a request is given up that says as little of it as a broken
-/// connection: callers leave streams after a gap of two seconds at the earliest.
-const SILENT: Duration = Duration::from_secs(1);
+/// Silence of a target after which an abandoned request tells as little of it as a broken
+/// connection: callers abandon streams after a gap of two seconds at the earliest.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Who gave a place, and so takes its charge back if the target has not run the request.
+/// The router that granted a place, and refunds its charge if the target has not run the request.
 #[derive(Clone, Copy, Debug)]
 pub enum Giver {
     /// This router.
     Own(Option<Charge>),
     /// Another router.
     Peer {
-        /// Where it listens.
+        /// Its address.
         address: SocketAddr,
-        /// Number under which it was asked.
+        /// Number of the request for the place.
         number: u64,
     },
 }
 
-/// A place that was given to a request; its work has been counted.
+/// A place that was granted to a request; its load has been counted.
 #[derive(Clone, Debug)]
 pub struct Place {
     /// The target.
@@ -45,17 +45,17 @@
     pub cell: cell::Cell,
     /// Prompt tokens that the target has to read.
     pub unread: u64,
-    /// Whether the prompt's prefix is taken to be there.
+    /// Whether the prompt's prefix is assumed to be cached there.
     pub hit: bool,
-    /// Engine from whose memory the target is to fetch what it lacks of the prefix.
+    /// Engine from whose memory the target is to fetch the missing part of the prefix.
     pub fetch: Option<SocketAddr>,
-    /// The router that gave it.
+    /// The router that granted it.
     pub owner: SocketAddr,
-    /// The same, with what it needs to take the charge back.
+    /// The same, with what is needed to refund the charge.
     pub giver: Giver,
-    /// What the request asks, if the place was asked for with it.
+    /// Content of the request, if the place was requested with it.
     pub content: Option<ContentTag>,
-    /// How the request's customer stood.
+    /// Standing of the request's customer.
     pub standing: Option<Standing>,
 }
 
@@ -63,29 +63,29 @@
 #[derive(Clone, Copy, Debug)]
 struct Run {
     content: Digest,
-    /// When the target was last heard of it, or it was sent.
+    /// When the request was sent, or the target last sent some of its answer.
     heard: Duration,
 }
 
-/// A place at a target; dropping it ends the work there.
+/// A place at a target; dropping it ends the request's load there.
 #[derive(Debug)]
 pub struct Lease {
     node: Weak<Node>,
     /// The target.
     pub target: Arc<Target>,
-    /// Whether the prompt's prefix is taken to be there.
+    /// Whether the prompt's prefix is assumed to be cached there.
     pub hit: bool,
-    /// Engine from whose memory the target is to fetch what it lacks of the prefix.
+    /// Engine from whose memory the target is to fetch the missing part of the prefix.
     pub fetch: Option<SocketAddr>,
-    /// The router that gave the place.
+    /// The router that granted the place.
     pub owner: SocketAddr,
-    /// How the request's customer stood.
+    /// Standing of the request's customer.
     pub standing: Option<Standing>,
     giver: Giver,
     cell: cell::Cell,
     unread: Cell<u64>,
     content: Option<ContentTag>,
-    /// What the target runs, until its end is known.
+    /// The request that the target runs, until its end is known.
     run: Cell<Option<Run>>,
     /// Whether the target may run the request or has run it.
     used: Cell<bool>,
@@ -94,7 +94,7 @@
 }
 
 impl Lease {
-    /// The place that was given.
+    /// A lease of a place that was granted.
     #[must_use]
     pub fn new(node: &Rc<Node>, place: Place) -> Self {
         Self {
@@ -121,7 +121,7 @@
         self.unread.get()
     }
 
-    /// Notes how the exchange went.
+    /// Records the outcome of the exchange.
     pub fn note(&self, outcome: Outcome) {
         self.outcome.set(Some(outcome));
         let Some(node) = self.node.upgrade() else {
@@ -136,8 +136,8 @@
         }
     }
 
-    /// The request is sent: from now on the target may run it. Work of which nothing is known any
-    /// more stays charged, as the target may have read the prompt.
+    /// Records that the request is sent: from now on the target may run it. A request that is lost
+    /// after that stays charged, as the target may have read the prompt.
     pub fn sent(&self, content: Digest) {
         self.used.set(true);
         if let Some(node) = self.node.upgrade() {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// The target has sent some of its answer.
+    /// Records that the target has sent some of its answer.
     pub fn heard(&self) {
         if let (Some(node), Some(run)) = (self.node.upgrade(), self.run.get()) {
             let heard = node.now();
@@ -154,35 +154,36 @@
         }
     }
 
-    /// The target has answered, though not well: it runs.
+    /// Records that the target has answered, though not well, so it has not ended.
     pub fn survived(&self) {
         self.run.set(None);
     }
 
-    /// The answer broke off or did not come: what became of its target is found out.
+    /// Records that the answer broke off or did not come, and starts to find out what became of the
+    /// target.
     pub fn cut(&self, how: Break) {
         if let (Some(node), Some(run)) = (self.node.upgrade(), self.run.take()) {
             cut::note(&node, &self.target, self.cell, run.content, how);
         }
     }
 
-    /// A run that is given up is as one that broke off if its target was silent before.
-    fn given_up(&self, node: &Node) {
+    /// Treats a run that is abandoned as an interrupted one if its target was silent before.
+    fn record_abandoned(&self, node: &Node) {
         if let Some(run) = self.run.get()
-            && node.now().saturating_sub(run.heard) >= SILENT
+            && node.now().saturating_sub(run.heard) >= SILENCE_TIMEOUT
         {
             self.cut(Break::Silent);
         }
     }
 
-    /// The target has not run the request and will not.
+    /// Records that the target has not run the request and will not.
     pub fn not_run(&self) {
         self.used.set(false);
         self.run.set(None);
     }
 
-    /// The target has turned the request away: this router knows it at once, the owner of the cell with
-    /// the place that comes back.
+    /// Records that the target has refused the request. The owner of the cell learns it with the
+    /// return of the place.
     pub fn refused(&self, refusal: Refusal) {
         self.refusal.set(Some(refusal));
         if let Some(node) = self.node.upgrade() {
@@ -193,7 +194,7 @@
         }
     }
 
-    /// The target has read the prompt.
+    /// Records that the target has read the prompt.
     pub fn read(&self) {
         let unread = self.unread.take();
         let Some(node) = self.node.upgrade() else {
@@ -208,13 +209,13 @@
             state.usage.end_prefill(tag, unread);
             state.backoffs.record_running(tag, node.now());
         }
-        self.tell(&node, Content::Read { tag, unread });
+        self.send_to_owner(&node, Content::Read { tag, unread });
         node.room_came();
     }
 
-    /// The number of the request at the cell's owner, if that gave the place and the target has
-    /// not run the request.
-    fn not_run_at(&self, owner: SocketAddr) -> Option<u64> {
+    /// The number of the request at the cell's owner, if the owner granted the place and the target
+    /// has not run the request.
+    fn not_run_number(&self, owner: SocketAddr) -> Option<u64> {
         match self.giver {
             Giver::Peer { address, number } if address == owner => {
                 (!self.used.get()).then_some(number)
@@ -223,8 +224,8 @@
         }
     }
 
-    /// Takes back the charge of a place that was not used, unless the cell's owner does so.
-    fn take_back(&self, node: &Node, owner: SocketAddr) {
+    /// Refunds the charge of a place that was not used, unless the cell's owner does so.
+    fn refund(&self, node: &Node, owner: SocketAddr) {
         match self.giver {
             Giver::Own(charge) => node.state.borrow_mut().take_back(charge, node.now()),
             Giver::Peer { address, number } if address != owner => {
@@ -234,8 +235,8 @@
         }
     }
 
-    /// Tells whoever owns the cell now; it may be another router than gave the place.
-    fn tell(&self, node: &Node, content: Content) {
+    /// Sends to the router that owns the cell now; another one may have granted the place.
+    fn send_to_owner(&self, node: &Node, content: Content) {
         let owner = node.state.borrow().members.owner(self.cell, node.now());
         if owner != node.settings.link {
             node.send(owner, content);
@@ -248,7 +249,7 @@
         let Some(node) = self.node.upgrade() else {
             return;
         };
-        self.given_up(&node);
+        self.record_abandoned(&node);
         let tag = self.target.tag();
         let unread = self.unread.get();
         {
@@ -264,12 +265,12 @@
             tag,
             unread,
             outcome: self.outcome.get(),
-            not_run: self.not_run_at(owner),
+            not_run: self.not_run_number(owner),
             content: self.content,
             refusal: self.refusal.get(),
         };
         if !self.used.get() {
-            self.take_back(&node, owner);
+            self.refund(&node, owner);
         }
         if owner != node.settings.link {
             node.send(owner, Content::Return(returned));
--- a/crates/path/src/lending.rs
+++ b/crates/path/src/lending.rs
@@ -1,7 +1,7 @@
-//! Finds a request a place in its own region, or in another one while that is short of room.
+//! Places a request in its own region, or in another one while its own lacks capacity.
 //!
-//! Regions are far apart: a place elsewhere costs its caller a longer way, and its shared prefix is
-//! read once more there. Both are less than a refusal while targets idle.
+//! Regions are far apart: a place in another one adds network latency for the caller, and a shared
+//! prefix has to be read once more there. Both cost less than a refusal while targets idle.
 
 use std::rc::Rc;
 
@@ -13,11 +13,11 @@
 use crate::node::Node;
 use crate::reply::{Reason, Refusal};
 
-/// Finds a request a place; `failed` is a target that has failed it.
+/// Obtains a place for a request; `failed` is a target that has failed it.
 ///
 /// # Errors
 ///
-/// The refusal of its own region if none has room in time.
+/// The refusal of the request's own region if no region has a place in time.
 pub(crate) async fn place(
     node: &Rc<Node>,
     job: &Job,
@@ -28,7 +28,7 @@
     let cell = wish.cell;
     let refusal = match node.place(wish).await {
         Ok(lease) => return Ok(lease),
-        Err(refusal) if short_of_room(refusal.reason) => refusal,
+        Err(refusal) if lacks_capacity(refusal.reason) => refusal,
         Err(refusal) => return Err(refusal),
     };
     let until = exchange::give_up_at(node, job);
@@ -36,18 +36,18 @@
         return Err(refusal);
     };
     let (cell, customer) = (wish.cell, wish.customer);
-    let lent = node.place(wish).await;
-    let label = if lent.is_ok() { "placed" } else { "refused" };
+    let placed = node.place(wish).await;
+    let label = if placed.is_ok() { "placed" } else { "refused" };
     node.metrics.add("places_elsewhere", label, 1);
-    if lent.is_err() {
+    if placed.is_err() {
         let now = node.now();
         node.state.borrow_mut().note_short(cell, customer, now);
     }
-    lent.map_err(|_| refusal)
+    placed.map_err(|_| refusal)
 }
 
-/// Whether another region may have what this one lacks.
-fn short_of_room(reason: Reason) -> bool {
+/// Whether another region may have the capacity that this one lacks.
+fn lacks_capacity(reason: Reason) -> bool {
     matches!(
         reason,
         Reason::Busy | Reason::OverShare | Reason::BackedOff | Reason::NoTarget
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -1,9 +1,9 @@
-//! What a router does for the cells that it owns.
+//! Duties of a router for the cells that it owns.
 //!
-//! It counts the work of all routers at the targets, places their requests or lets
-//! them wait in its queue, and hears how exchanges went. Each router tells it several
-//! times a second the whole of what it has there, so lost messages don't add up and
-//! a router that has just become the owner knows within a moment what it needs.
+//! The owner of a cell counts the load of all routers at the cell's targets, places their requests
+//! or queues them, and receives the outcomes of their exchanges. Each router reports its whole load
+//! at these targets several times a second. So errors from lost messages don't accumulate, and a
+//! router that has just become the owner soon has all that it needs.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -24,23 +24,23 @@
 use crate::queue::Asker;
 use crate::state::{Claim, Wish};
 
-/// How often the log is told of places that were given and not used.
-const UNUSED_TOLD: Duration = Duration::from_secs(1);
+/// Interval at which unused places are logged.
+const UNUSED_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Lines on such places each time, those with most tokens first: bounds the log at a router that
-/// owns much while many customers flood.
-const UNUSED_LINES: usize = 8;
+/// Lines on unused places per interval, those with most tokens first: bounds the log of a router
+/// that owns many cells while many customers flood.
+const MAX_UNUSED_LINES: usize = 8;
 
-/// How often a router tells owners what it has at their targets.
-const WORK_INTERVAL: Duration = Duration::from_millis(300);
+/// Interval at which a router reports its load to owners.
+const REPORT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How far back a new owner is told which prefixes were sent where.
-const USES_TOLD: Duration = Duration::from_secs(20);
+/// Age up to which uses of prefixes are reported to a new owner.
+const MAX_USE_AGE: Duration = Duration::from_secs(20);
 
-/// Prefixes that a new owner is told of at the most: a few kilobytes.
-const USES_MOST: usize = 400;
+/// Uses of prefixes in a report to a new owner: a few kilobytes.
+const MAX_USES: usize = 400;
 
-/// A router asks for a place.
+/// Handles a router's request for a place.
 pub fn ask(node: &Rc<Node>, peer: Peer, address: SocketAddr, ask: Request) {
     let now = node.now();
     let asker = Asker {
@@ -55,7 +55,7 @@
             cell: ask.cell,
             router: peer,
             domain: domain.unwrap_or_else(|| node.settings.domain.clone()),
-            // The router that asks has chosen the cell by what it allows.
+            // The requesting router has chosen the cell by the allowed regions.
             allowed: Constraint::ANY,
             content: ask.content,
             prompt: ask.prompt.map(Rc::new),
@@ -77,21 +77,21 @@
     node.room_came();
 }
 
-/// A router's request no longer waits, and a place that it was given is not used.
+/// Handles a withdrawn request: it no longer waits, and a place granted for it is not used.
 pub fn withdraw(node: &Rc<Node>, peer: Peer, number: u64) {
     let now = node.now();
     node.state.borrow_mut().withdraw(peer, number, now);
     node.room_came();
 }
 
-/// A target has read a router's prompt.
+/// Handles a router's message that a target has read its prompt.
 pub fn read(node: &Rc<Node>, peer: Peer, tag: Tag, unread: u64) {
     let now = node.now();
     node.state.borrow_mut().read_for(peer, tag, unread, now);
     node.room_came();
 }
 
-/// A router's place is free again.
+/// Handles the return of a router's place.
 pub fn returned(node: &Rc<Node>, peer: Peer, returned: Return) {
     let now = node.now();
     node.state.borrow_mut().returned(peer, &returned, now);
@@ -104,7 +104,7 @@
     node.room_came();
 }
 
-/// A router tells what it has at the targets of this one's cells.
+/// Handles a router's report of its load at the targets of this router's cells.
 pub fn work(node: &Rc<Node>, peer: Peer, work: &LoadReport) {
     let now = node.now();
     {
@@ -126,16 +126,16 @@
 }
 
 impl Node {
-    /// Notes how another router's exchange with a target went. A router that can't reach a
-    /// target may itself be cut off, so that counts as any other failure.
+    /// Records the outcome of another router's exchange with a target. A router that can't reach a
+    /// target may itself be partitioned, so that counts as any other failure.
     fn note_reported(&self, tag: Tag, outcome: Outcome) {
-        let lost = outcome == Outcome::Unreachable;
+        let unreachable = outcome == Outcome::Unreachable;
         let outcome = match outcome {
             Outcome::Good => Outcome::Good,
             Outcome::Bad | Outcome::Unreachable => Outcome::Bad,
         };
         let now = self.now();
-        if lost {
+        if unreachable {
             self.state.borrow_mut().cold.mark_uncertain(tag, now);
         }
         let target = self.state.borrow().registry.get(tag).cloned();
@@ -152,47 +152,47 @@
     }
 }
 
-/// Tells owners what this router has at their targets, for as long as it runs.
+/// Reports this router's load at targets to their owners for as long as it runs.
 pub async fn report_work(node: Rc<Node>) {
-    let mut timer = tokio::time::interval(WORK_INTERVAL);
+    let mut timer = tokio::time::interval(REPORT_INTERVAL);
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut told = Told::default();
-    let mut unused_told = node.now();
+    let mut reporter = Reporter::default();
+    let mut unused_logged = node.now();
     loop {
         timer.tick().await;
         let now = node.now();
-        let over = node.state.borrow_mut().prune(now);
-        // Places of which nothing was heard for long count no more.
+        let expired = node.state.borrow_mut().prune(now);
+        // Places that were not confirmed in time have expired.
         node.room_came();
-        for target in over {
+        for target in expired {
             let line = node.journal.line("backoff_over");
             drop(line.with("target", target.id.as_ref()));
         }
-        if now.saturating_sub(unused_told) >= UNUSED_TOLD {
-            unused_told = now;
-            tell_unused(&node);
-            tell_late(&node);
+        if now.saturating_sub(unused_logged) >= UNUSED_LOG_INTERVAL {
+            unused_logged = now;
+            log_unused(&node);
+            log_late(&node);
         }
-        let mut reports = told.next(&node);
+        let mut reports = reporter.due(&node);
         for (owner, numbers) in node.pending.confirmations() {
             reports.entry(owner).or_default().accepted = numbers;
         }
         cut::tell_again(&node);
-        for (address, work) in reports {
-            node.send(address, Content::LoadReport(work));
+        for (address, report) in reports {
+            node.send(address, Content::LoadReport(report));
         }
     }
 }
 
-/// Tells the log of places that other routers were given and did not use.
-fn tell_unused(node: &Node) {
+/// Logs places that were granted to other routers and not used.
+fn log_unused(node: &Node) {
     let unused = node.state.borrow_mut().grants.take_unused();
     for (rank, it) in unused.iter().enumerate() {
         node.metrics
             .add("unused_places", it.reason.name(), it.places);
         node.metrics
             .add("unused_tokens", it.reason.name(), it.tokens);
-        if rank >= UNUSED_LINES {
+        if rank >= MAX_UNUSED_LINES {
             continue;
         }
         let state = node.state.borrow();
@@ -205,8 +205,8 @@
     }
 }
 
-/// Tells the log of answers of owners that came after their requests had been given up.
-fn tell_late(node: &Node) {
+/// Logs answers of owners that came after their requests had been abandoned.
+fn log_late(node: &Node) {
     let late = node.pending.take_late(node.now());
     if late.answers == 0 {
         return;
@@ -214,22 +214,22 @@
     let line = node.journal.line("answers_late");
     let line = line.with("answers", late.answers);
     let line = line.with("places", late.places);
-    let line = line.with_ms("mean_ms", late.time / late.answers);
+    let line = line.with_ms("mean_ms", late.total / late.answers);
     drop(line.with_ms("longest_ms", late.longest));
 }
 
-/// What owners have been told.
+/// State of the reports to owners.
 #[derive(Default)]
-struct Told {
+struct Reporter {
     /// Owner of each cell at the last report.
     owners: HashMap<Cell, SocketAddr>,
-    /// Owners whose last report said that something is at their targets.
+    /// Owners whose last report contained load.
     busy: HashSet<SocketAddr>,
 }
 
-impl Told {
+impl Reporter {
     /// The reports that are due now.
-    fn next(&mut self, node: &Rc<Node>) -> HashMap<SocketAddr, LoadReport> {
+    fn due(&mut self, node: &Rc<Node>) -> HashMap<SocketAddr, LoadReport> {
         let now = node.now();
         let own = node.settings.link;
         let mut state = node.state.borrow_mut();
@@ -246,7 +246,7 @@
             }
         }
         let mut owners = HashSet::new();
-        let recent = state.memory.recent(USES_TOLD, now);
+        let recent = state.memory.recent(MAX_USE_AGE, now);
         let refusals: Vec<_> = state.backoffs.backoffs_for(node.peer, now).collect();
         for (cell, targets) in state.registry.all_cells() {
             let owner = state.members.owner(cell, now);
@@ -258,14 +258,14 @@
             let tags: HashSet<_> = targets.iter().map(|it| it.tag()).collect();
             let uses = recent.iter().filter(|it| tags.contains(&it.tag));
             let uses: HashSet<Use> = uses.copied().collect();
-            let uses = uses.into_iter().take(USES_MOST);
+            let uses = uses.into_iter().take(MAX_USES);
             let refusals = refusals.iter().filter(|(tag, _)| tags.contains(tag));
             let report = reports.entry(owner).or_default();
             report.uses.extend(uses);
             report.refusals.extend(refusals.copied());
         }
         let customers = state.shares.report(now);
-        // Also from a router that owns nothing any more: what it granted still counts.
+        // Also from a router that owns no cells any more: what it granted still counts.
         for owner in owners.iter().filter(|it| **it != own) {
             if !customers.is_empty() {
                 let report = reports.entry(*owner).or_default();
