--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -1,7 +1,6 @@
 //! A router: its settings, its views, its state.
 //!
-//! Borrows of the state end before anything is woken or dropped that could
-//! borrow it again.
+//! Borrows of the state end before anything is woken or dropped that could borrow it again.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -38,17 +37,18 @@
 use crate::view::Fetching;
 use crate::wake::Wake;
 
-/// Time after its start for which a router waits to hear what is quarantined before it is ready: peers
-/// tell it with their first greeting, and the store within its answer.
-const UNHEARD: Duration = Duration::from_secs(5);
+/// Time after its start up to which a router waits for the quarantine before it is ready: peers
+/// send it after their first heartbeat, and the store within its answer.
+const QUARANTINE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time after its start for which a router waits to hear from a peer that it lacks no configuration and
-/// no evacuation: a store that came back from a copy may tell older ones. Peers answer the first
-/// greeting, within some 0.2 s; who knows of none goes on alone.
-const UNCOMPARED: Duration = Duration::from_secs(2);
+/// Time after its start up to which a router waits for a peer's views, to learn that it lacks no
+/// configuration and no evacuation: a store that was restored from a copy may return older ones.
+/// Peers answer the first heartbeat within some 0.2 s; a router that knows of no peers continues
+/// alone.
+const COMPARISON_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Unknown regions that a line names.
-const NAMED: usize = 4;
+/// Unknown regions that are named in a log line.
+const MAX_NAMED_REGIONS: usize = 4;
 
 /// Source of a view that this router has read from the store itself.
 pub const STORE: &str = "store";
@@ -58,42 +58,42 @@
 pub struct List {
     /// The targets.
     pub targets: Vec<Target>,
-    /// Identities whose entries can't be read.
+    /// Identities whose entries can't be decoded.
     pub unreadable: Vec<Arc<str>>,
-    /// When it was true.
+    /// When it was current.
     pub as_of: Duration,
-    /// Whether what it lacks has surely ended: it is of a router that saw no outage.
+    /// Whether targets that it lacks have certainly ended: its router saw no outage of the store.
     pub settled: bool,
-    /// The reading of a peer that it comes from; none if this router has read it itself.
+    /// The peer's reading that it comes from; none if this router has read it itself.
     pub reading: Option<Reading>,
-    /// Where the store's log goes on behind it.
+    /// Position in the store's log up to which it is complete.
     pub position: Option<Position>,
 }
 
-/// What a peer's list of targets has that this router's has not.
+/// The difference between a peer's list of targets and this router's.
 #[derive(Clone, Debug)]
 pub struct Told {
-    /// The entries.
+    /// The entries that differ.
     pub delta: Delta,
-    /// Whether what its list lacks has surely ended: it saw no outage.
+    /// Whether targets that the peer's list lacks have certainly ended: it saw no outage.
     pub settled: bool,
-    /// The reading that its list is of.
+    /// The reading of the peer's list.
     pub reading: Reading,
-    /// Where the store's log goes on behind it.
+    /// Position in the store's log up to which the peer's list is complete.
     pub position: Option<Position>,
-    /// When it was true.
+    /// When the peer's list was current.
     pub as_of: Duration,
 }
 
 /// A router.
 pub struct Node {
-    /// What it was told.
+    /// Its settings.
     pub settings: Settings,
-    /// Translates heads.
+    /// Translates heads of requests and answers.
     pub dialect: Rc<dyn Dialect>,
     /// Its log.
     pub journal: Journal,
-    /// Its counters.
+    /// Its metrics.
     pub metrics: Metrics,
     /// Its connections to targets.
     pub pool: Pool,
@@ -106,25 +106,25 @@
     pub(crate) pending: Pending,
     pub(crate) strain: Strain,
     pub(crate) state: RefCell<State>,
-    /// Entries that the store is to keep.
+    /// Quarantine entries that are to be written to the store.
     pub(crate) unwritten: Unwritten,
     pub(crate) clock: Clock,
     pub(crate) wake: Wake,
     pub(crate) room: Notify,
     draws: Cell<u64>,
-    /// Callers' connections that are open.
+    /// Open connections of callers.
     pub(crate) open: Cell<usize>,
     leaving: watch::Sender<Option<Duration>>,
 }
 
 impl Node {
-    /// A router that knows nothing yet.
+    /// A router without any views.
     #[must_use]
     pub fn new(settings: Settings, dialect: Rc<dyn Dialect>) -> Rc<Self> {
         Self::with_clock(settings, dialect, Clock::new())
     }
 
-    /// The same by another clock.
+    /// The same with another clock.
     #[must_use]
     pub fn with_clock(settings: Settings, dialect: Rc<dyn Dialect>, clock: Clock) -> Rc<Self> {
         let journal = Journal::new(&settings.name);
@@ -160,20 +160,20 @@
         self.clock.now()
     }
 
-    /// A moment as the runtime counts it.
+    /// A moment on the runtime's clock.
     #[must_use]
     pub fn instant(&self, at: Duration) -> Instant {
         self.clock.instant(at)
     }
 
-    /// A number that is spread over all values.
+    /// A pseudorandom number, uniform over all values.
     pub fn draw(&self) -> u64 {
         let next = self.draws.get().wrapping_add(0x9e37_79b9_7f4a_7c15);
         self.draws.set(next);
         xxhash_rust::xxh64::xxh64(&next.to_le_bytes(), 0)
     }
 
-    /// A part of one, drawn anew, in thousandths.
+    /// A pseudorandom fraction from 0 up to, but not including, 1, in steps of a thousandth.
     pub fn draw_part(&self) -> f64 {
         const STEPS: u32 = 1_000;
         let step = u32::try_from(self.draw() % u64::from(STEPS)).unwrap_or_default();
@@ -186,13 +186,13 @@
         self.state.borrow().table.clone()
     }
 
-    /// When this router began to end.
+    /// When this router began to shut down.
     #[must_use]
     pub fn leaving(&self) -> Option<Duration> {
         *self.leaving.borrow()
     }
 
-    /// Begins to end: not ready, no more kept connections.
+    /// Begins to shut down: the router is not ready any more, and closes kept-alive connections.
     pub fn leave(&self) {
         let now = self.now();
         self.leaving.send_replace(Some(now));
@@ -209,21 +209,23 @@
     pub fn ready(&self) -> bool {
         let state = self.state.borrow();
         let known = state.table.is_some() && state.registry.read_at().is_some();
-        // What the others refuse must not find the one router that has not heard of it yet.
-        let known = known && (state.quarantine_known || self.now() >= UNHEARD);
-        let known = known && (state.compared || self.alone() || self.now() >= UNCOMPARED);
+        // A content that other routers refuse must not pass through a router that has not received
+        // the quarantine yet.
+        let known = known && (state.quarantine_known || self.now() >= QUARANTINE_TIMEOUT);
+        let known =
+            known && (state.compared || self.has_no_peers() || self.now() >= COMPARISON_TIMEOUT);
         let sound = self.leaving().is_none() && !self.strain.behind();
         drop(state);
         known && sound && self.confirmed_since_wake()
     }
 
-    /// Whether no other router is named to this one.
-    fn alone(&self) -> bool {
+    /// Whether the settings name no other router.
+    fn has_no_peers(&self) -> bool {
         let own = self.settings.link;
         self.settings.seeds.iter().all(|it| *it == own)
     }
 
-    /// Takes a configuration; an older one than that in force is ignored.
+    /// Applies a configuration; one that is not newer than that in force is ignored.
     pub fn take_configuration(&self, configuration: Configuration, source: &str) {
         let version = configuration.version;
         let before = self.table().map(|it| it.version());
@@ -231,7 +233,7 @@
             return;
         }
         let table = Rc::new(Table::new(configuration));
-        self.tell_unknown_regions(&table);
+        self.log_unknown_regions(&table);
         {
             let mut state = self.state.borrow_mut();
             state.tries.retain(|name| table.serves(name));
@@ -248,8 +250,9 @@
         self.room_came();
     }
 
-    /// Routes and customers that are bound only to regions that no failure domain is in run nowhere.
-    fn tell_unknown_regions(&self, table: &Table) {
+    /// Logs regions that contain no failure domain: routes and customers that are restricted to
+    /// such regions run nowhere.
+    fn log_unknown_regions(&self, table: &Table) {
         let regions = &self.settings.regions;
         let unknown = table.named_regions().filter(|it| !regions.contains(it));
         let unknown: BTreeSet<_> = unknown.map(AsRef::as_ref).collect();
@@ -258,44 +261,47 @@
         }
         let line = self.journal.line("regions_unknown");
         let line = line.with("count", unknown.len());
-        let named = unknown.into_iter().take(NAMED).map(ToString::to_string);
+        let named = unknown
+            .into_iter()
+            .take(MAX_NAMED_REGIONS)
+            .map(ToString::to_string);
         let named: Vec<_> = named.collect();
         drop(line.with("first", named));
     }
 
-    /// This router has read that the configuration in force is the store's newest.
+    /// Records that this router has read the configuration in force as the store's newest.
     pub fn confirm_configuration(&self) {
         let now = self.now();
         self.state.borrow_mut().configuration_reads.record(now);
     }
 
-    /// Whether others that start ask this router first.
+    /// Whether routers that start contact this router first.
     #[must_use]
     pub fn is_seed(&self) -> bool {
         self.settings.seeds.contains(&self.settings.link)
     }
 
-    /// When the configuration in force was the store's newest.
+    /// When the configuration in force was last known to be the store's newest.
     #[must_use]
     pub fn configuration_at(&self) -> Option<Duration> {
         self.look_for_wake();
         self.state.borrow().configuration_reads.at()
     }
 
-    /// How long ago that was.
+    /// Time since [`configuration_at`](Self::configuration_at).
     #[must_use]
     pub fn configuration_age(&self) -> Option<Duration> {
         let at = self.configuration_at();
         at.map(|at| self.now().saturating_sub(at))
     }
 
-    /// How many routers come before this one in a duty.
+    /// Number of routers that precede this one in a duty.
     #[must_use]
     pub fn rank(&self, duty: Duty, scope: Scope) -> usize {
         self.state.borrow().members.rank(duty, scope)
     }
 
-    /// The same, but for a router that hears nobody: those before it tell it nothing.
+    /// The same, but zero for an isolated router, as those before it tell it nothing.
     #[must_use]
     pub fn rank_heard(&self, duty: Duty, scope: Scope) -> usize {
         if self.state.borrow().membership.is_isolated(self.now()) {
@@ -304,20 +310,20 @@
         self.rank(duty, scope)
     }
 
-    /// Routers that are known to be alive, this one included.
+    /// Number of routers that are known to be alive, this one included.
     #[must_use]
     pub fn routers(&self) -> usize {
         self.state.borrow().members.count()
     }
 
-    /// How long ago a router was lost; none if none was.
+    /// Time since a router was last lost; none if none was.
     #[must_use]
     pub fn lost_since(&self) -> Option<Duration> {
         let lost_at = self.gossip.lost_at();
         lost_at.map(|at| self.now().saturating_sub(at))
     }
 
-    /// Places at targets that this router's requests have now.
+    /// Places at targets that this router's requests hold.
     #[must_use]
     pub fn places(&self) -> usize {
         let state = self.state.borrow();
@@ -328,7 +334,8 @@
         running.sum()
     }
 
-    /// Whether the way to a target may be cut, so that only a new connection proves it.
+    /// Whether the network to a target may be partitioned, so that only a new connection proves it
+    /// reachable.
     #[must_use]
     pub fn doubtful(&self, target: &Target) -> bool {
         self.state
@@ -337,7 +344,7 @@
             .may_be_partitioned(&target.domain, self.now())
     }
 
-    /// Notes how an exchange with a target went.
+    /// Records the outcome of an exchange with a target.
     pub fn note(&self, target: &Target, outcome: Outcome) {
         let now = self.now();
         let ejected = self.state.borrow_mut().note(target, outcome, now);
@@ -352,7 +359,7 @@
         }
     }
 
-    /// Takes one repeat from the budget of a service.
+    /// Takes one retry from the budget of a service.
     pub fn may_repeat(&self, service: &Arc<str>) -> bool {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -363,21 +370,21 @@
         allowed
     }
 
-    /// Room may have come for requests that wait.
+    /// Wakes the queue, as capacity may have become available for requests that wait.
     pub fn room_came(&self) {
         if !self.state.borrow().queue.is_empty() {
             self.room.notify_one();
         }
     }
 
-    /// How a customer stands against the others.
+    /// Standing of a customer among the others.
     #[must_use]
     pub fn standing(&self, customer: CustomerTag) -> Standing {
         let now = self.now();
         self.state.borrow_mut().shares.standing(customer, now)
     }
 
-    /// A line on what is known, for a request's story.
+    /// Adds the versions and ages of the views to a request's log line.
     pub(crate) fn views(&self, line: Line) -> Line {
         let state = self.state.borrow();
         let age = state
--- a/crates/path/src/tell.rs
+++ b/crates/path/src/tell.rs
@@ -1,4 +1,4 @@
-//! What the log says of one request.
+//! Log lines and metrics of one request.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use crate::node::Node;
 use crate::reply::Refusal;
 
-/// Tells of a caller that leaves before the head of its answer.
+/// Logs a caller that leaves before the head of its answer.
 pub struct Departure {
     /// The router.
     pub node: Rc<Node>,
@@ -40,7 +40,7 @@
     }
 }
 
-/// A request was refused or given up.
+/// Logs a request that was refused or abandoned.
 pub fn refusal(
     node: &Rc<Node>,
     id: &Arc<str>,
@@ -57,14 +57,14 @@
     let mut line = line.with_ms("after_ms", node.now().saturating_sub(arrived));
     if let Some(job) = job {
         line = line.with("content", job.content.to_string());
-        line = about(job, refused.standing, line);
+        line = with_properties(job, refused.standing, line);
     }
     let line = line.with("owner", refused.owner.map(|it| it.to_string()));
     drop(node.views(line));
 }
 
-/// Adds what a request is and how its customer stands.
-fn about(job: &Job, standing: Option<Standing>, line: Line) -> Line {
+/// Adds properties of a request and its customer's standing.
+fn with_properties(job: &Job, standing: Option<Standing>, line: Line) -> Line {
     let line = line
         .with("route", job.route.name.as_ref())
         .with("customer", job.customer.as_deref())
@@ -78,11 +78,11 @@
         .with("level", standing.level)
 }
 
-/// A request is sent to a target.
+/// Logs a request that is sent to a target.
 pub fn sent(node: &Rc<Node>, job: &Job, lease: &Lease, sends: u32) {
     let line = node.journal.line("sent").with("id", job.id.as_ref());
     let line = line.with("target", lease.target.id.as_ref());
-    let line = about(job, lease.standing, line);
+    let line = with_properties(job, lease.standing, line);
     let line = line.with("content", job.content.to_string());
     let line = line.with("owner", lease.owner.to_string());
     let line = line.with("hit", lease.hit).with("sends", sends);
@@ -96,7 +96,7 @@
     drop(node.views(line));
 }
 
-/// What a target says of itself in an answer, if it says anything.
+/// Logs what a target states about itself in an answer, if anything.
 pub fn said(node: &Rc<Node>, job: &Job, lease: &Lease, status: StatusCode, answer: &Answer) {
     if !answer.leaving && matches!(answer.backoff, Ok(None)) {
         return;
@@ -122,7 +122,7 @@
     drop(line.with("running", running));
 }
 
-/// An attempt brought no answer.
+/// Logs an attempt that brought no answer.
 pub fn failure(node: &Rc<Node>, job: &Job, target: &str, failed: Failure) {
     node.metrics.add("failures", failed.reason, 1);
     let line = node
--- a/crates/path/src/wake.rs
+++ b/crates/path/src/wake.rs
@@ -1,9 +1,10 @@
-//! What a router does once its instance has been suspended.
+//! Detection of suspensions of the instance.
 //!
-//! To the others it was silent, and to itself nothing happened. It looks for that before it takes
-//! a request or a message, and with each probe, by the time that its [`clock`](crate::clock) counts
-//! beside the runtime's. What was true before is then not believed: kept connections are closed, waits
-//! end by the true time, and it is not ready until both views are confirmed anew.
+//! To other routers a suspended router is silent; the router itself notices nothing. It therefore
+//! checks for a suspension before it handles a request or a message, and with each probe, by the
+//! suspended time that its [`clock`](crate::clock) counts. Earlier knowledge is then not trusted:
+//! pooled connections are closed, waits end by the true time, and the router is not ready until
+//! both views are confirmed again.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -12,22 +13,22 @@
 
 use crate::node::Node;
 
-/// Shortest suspension that is one: below the time between two probes nobody else sees any.
-const LEAST: Duration = Duration::from_millis(100);
+/// Shortest suspension that counts: no other router notices one below the probe interval.
+const MIN_SUSPENSION: Duration = Duration::from_millis(100);
 
-/// Longest time after waking for which views may stay unconfirmed until the router is ready all the
-/// same: that within which a configuration is to be in force. While the store is away nobody confirms
-/// any, and a router that was awake goes on with what it knows as well.
-const UNCONFIRMED: Duration = Duration::from_secs(5);
+/// Time after a suspension from which the router is ready although its views are unconfirmed: that
+/// within which a configuration must be in force. While the store is unavailable nothing can
+/// confirm views, and a router that was not suspended goes on with what it knows as well.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What is known of suspensions.
+/// Suspensions that were detected.
 #[derive(Debug)]
 pub struct Wake {
-    /// Time in suspension that has been noticed.
-    noticed: Cell<Duration>,
-    /// When the last one was, until the views are confirmed.
+    /// Total suspended time that has been detected.
+    detected: Cell<Duration>,
+    /// End of the last suspension, until the views are confirmed.
     at: Cell<Option<Duration>>,
-    /// Time of the last ones that the next probe has to leave out.
+    /// Suspended time that the next probe has to leave out.
     late: Cell<Duration>,
     count: watch::Sender<u64>,
 }
@@ -35,7 +36,7 @@
 impl Default for Wake {
     fn default() -> Self {
         Self {
-            noticed: Cell::default(),
+            detected: Cell::default(),
             at: Cell::default(),
             late: Cell::default(),
             count: watch::Sender::new(0),
@@ -44,21 +45,21 @@
 }
 
 impl Wake {
-    /// Time of suspensions that was not taken yet: in it no answers could be heard.
+    /// Suspended time since the last call, in which no answers could be received.
     pub(crate) fn take_late(&self) -> Duration {
         self.late.take()
     }
 }
 
 impl Node {
-    /// Notices a suspension, if there was one.
+    /// Detects a suspension since the last call.
     pub(crate) fn look_for_wake(&self) {
         let suspended = self.clock.suspended();
-        let time = suspended.saturating_sub(self.wake.noticed.get());
-        if time < LEAST {
+        let time = suspended.saturating_sub(self.wake.detected.get());
+        if time < MIN_SUSPENSION {
             return;
         }
-        self.wake.noticed.set(suspended);
+        self.wake.detected.set(suspended);
         self.wake.at.set(Some(self.now()));
         self.wake.late.set(self.wake.late.get() + time);
         self.metrics.add("suspensions", "woken", 1);
@@ -69,7 +70,7 @@
         self.room_came();
     }
 
-    /// Whether what this router knew before a suspension has been confirmed since, or can't be.
+    /// Whether the views have been confirmed since the last suspension, or can't be.
     pub(crate) fn confirmed_since_wake(&self) -> bool {
         let Some(woken) = self.wake.at.get() else {
             return true;
@@ -77,15 +78,15 @@
         let state = self.state.borrow();
         let since = |at: Option<Duration>| at.is_some_and(|at| at >= woken);
         let confirmed = since(state.configuration_reads.at()) && since(state.registry.read_at());
-        let over = self.now() >= woken + UNCONFIRMED;
-        if confirmed || over {
+        let expired = self.now() >= woken + CONFIRMATION_TIMEOUT;
+        if confirmed || expired {
             self.wake.at.set(None);
         }
-        confirmed || over
+        confirmed || expired
     }
 
-    /// What comes of `future` until a moment; none if that comes first. What is ready by then counts,
-    /// though the router may be late to see it.
+    /// Output of `future`, or none if `moment` comes first. Output that is ready by then counts
+    /// even if this task runs late.
     pub(crate) async fn until<T>(
         &self,
         moment: Duration,
@@ -112,12 +113,12 @@
 
     /// Waits until a moment.
     pub(crate) async fn sleep_until(&self, moment: Duration) {
-        // There is nothing else to wait for, so nothing comes of it.
+        // The future never completes, so this waits for the moment only.
         let nothing = self.until(moment, std::future::pending::<()>()).await;
         debug_assert!(nothing.is_none());
     }
 
-    /// Waits for a time, or until the router wakes from a suspension.
+    /// Waits for a time, or until the router resumes from a suspension.
     pub async fn pause(&self, time: Duration) {
         let mut woken = self.wake.count.subscribe();
         tokio::select! {
