--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -64,7 +64,7 @@
 struct Run {
     content: Digest,
     /// When the request was sent, or the target last sent some of its answer.
-    heard: Duration,
+    last_progress: Duration,
 }
 
 /// A place at a target; dropping it ends the request's load there.
@@ -141,16 +141,22 @@
     pub fn sent(&self, content: Digest) {
         self.used.set(true);
         if let Some(node) = self.node.upgrade() {
-            let heard = node.now();
-            self.run.set(Some(Run { content, heard }));
+            let last_progress = node.now();
+            self.run.set(Some(Run {
+                content,
+                last_progress,
+            }));
         }
     }
 
     /// Records that the target has sent some of its answer.
     pub fn heard(&self) {
         if let (Some(node), Some(run)) = (self.node.upgrade(), self.run.get()) {
-            let heard = node.now();
-            self.run.set(Some(Run { heard, ..run }));
+            let last_progress = node.now();
+            self.run.set(Some(Run {
+                last_progress,
+                ..run
+            }));
         }
     }
 
@@ -170,7 +176,7 @@
     /// Treats a run that is abandoned as an interrupted one if its target was silent before.
     fn record_abandoned(&self, node: &Node) {
         if let Some(run) = self.run.get()
-            && node.now().saturating_sub(run.heard) >= SILENCE_TIMEOUT
+            && node.now().saturating_sub(run.last_progress) >= SILENCE_TIMEOUT
         {
             self.cut(Break::Silent);
         }
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -216,7 +216,7 @@
             known && (state.compared || self.has_no_peers() || self.now() >= COMPARISON_TIMEOUT);
         let sound = self.leaving().is_none() && !self.strain.behind();
         drop(state);
-        known && sound && self.confirmed_since_wake()
+        known && sound && self.views_confirmed()
     }
 
     /// Whether the settings name no other router.
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -96,7 +96,7 @@
     let now = node.now();
     node.state.borrow_mut().returned(peer, &returned, now);
     if let Some(outcome) = returned.outcome {
-        node.note_reported(returned.tag, outcome);
+        node.record_reported_outcome(returned.tag, outcome);
         if let Some(content) = returned.content.filter(|_| outcome == Outcome::Good) {
             quarantine::answered(node, content);
         }
@@ -128,7 +128,7 @@
 impl Node {
     /// Records the outcome of another router's exchange with a target. A router that can't reach a
     /// target may itself be partitioned, so that counts as any other failure.
-    fn note_reported(&self, tag: Tag, outcome: Outcome) {
+    fn record_reported_outcome(&self, tag: Tag, outcome: Outcome) {
         let unreachable = outcome == Outcome::Unreachable;
         let outcome = match outcome {
             Outcome::Good => Outcome::Good,
--- a/crates/path/src/pending.rs
+++ b/crates/path/src/pending.rs
@@ -65,7 +65,7 @@
 
 impl Pending {
     /// Registers a request: its number, and the channel of its answers.
-    pub(crate) fn put(&self) -> (u64, mpsc::UnboundedReceiver<Answer>) {
+    pub(crate) fn register(&self) -> (u64, mpsc::UnboundedReceiver<Answer>) {
         let number = self.next.get();
         self.next.set(number + 1);
         let (sender, answers) = mpsc::unbounded_channel();
@@ -74,25 +74,25 @@
     }
 
     /// Delivers an answer to its request; false if that no longer waits.
-    pub(crate) fn answer(&self, number: u64, answer: Answer) -> bool {
+    pub(crate) fn deliver(&self, number: u64, answer: Answer) -> bool {
         let waiting = self.waiting.borrow().get(&number).cloned();
         waiting.is_some_and(|it| it.send(answer).is_ok())
     }
 
     /// Removes a request that no longer waits.
-    pub(crate) fn close(&self, number: u64) {
+    pub(crate) fn remove(&self, number: u64) {
         self.waiting.borrow_mut().remove(&number);
     }
 
     /// Records that a request first sent at `asked` was abandoned without a place.
-    pub(crate) fn give_up(&self, number: u64, asked: Duration) {
+    pub(crate) fn abandon(&self, number: u64, asked: Duration) {
         self.abandoned.borrow_mut().insert(number, asked);
     }
 
     /// Adds a place that is used to the next reports.
-    pub(crate) fn accept(&self, giver: SocketAddr, number: u64) {
+    pub(crate) fn confirm(&self, granter: SocketAddr, number: u64) {
         let mut accepted = self.accepted.borrow_mut();
-        let accepted = accepted.entry(giver).or_default();
+        let accepted = accepted.entry(granter).or_default();
         accepted.push(Accepted { number, reports: 0 });
     }
 
@@ -104,12 +104,12 @@
             !it.is_empty()
         });
         let mut numbers = HashMap::new();
-        for (giver, accepted) in accepted.iter_mut() {
+        for (granter, accepted) in accepted.iter_mut() {
             for it in accepted.iter_mut() {
                 it.reports += 1;
             }
             let confirmed = accepted.iter().map(|it| it.number);
-            numbers.insert(*giver, confirmed.collect());
+            numbers.insert(*granter, confirmed.collect());
         }
         numbers
     }
@@ -123,7 +123,7 @@
 
     /// Records an answer to an abandoned request; returns the time since that was first sent, if
     /// known.
-    pub(crate) fn note_late(
+    pub(crate) fn record_late(
         &self,
         number: u64,
         answer: &Answer,
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -72,7 +72,7 @@
         while silent_owners < MAX_SILENT_OWNERS {
             let owner = self.owner(&wish);
             if owner == self.settings.link {
-                return self.place_here(wish).await;
+                return self.place_locally(wish).await;
             }
             match self.request_from(owner, &wish).await {
                 Outcome::Placed(lease) => return Ok(lease),
@@ -85,7 +85,7 @@
         }
         self.metrics.add("placed_alone", "unanswered", 1);
         wish.claim = Claim::Own;
-        self.place_here(wish).await
+        self.place_locally(wish).await
     }
 
     /// Refusal of a request for which no target can become available before its deadline. If one
@@ -97,13 +97,13 @@
             Opening::Never => Some(Refusal::new(Reason::NoTarget)),
             Opening::Now | Opening::At(_) => {
                 let closed_for = opening.closed_for(wish, now);
-                closed_for.map(|it| self.backed_off(it))
+                closed_for.map(|it| self.backoff_refusal(it))
             }
         }
     }
 
     /// Refusal of a request while all its targets are backed off for `time`.
-    pub(crate) fn backed_off(&self, time: Duration) -> Refusal {
+    pub(crate) fn backoff_refusal(&self, time: Duration) -> Refusal {
         let spread = RETURN_SPREAD.mul_f64(self.draw_part());
         Refusal::new(Reason::BackedOff).with_retry_after(time + spread)
     }
@@ -172,7 +172,7 @@
         let standing = wait.and_then(|it| it.standing);
         let closed_for = wait.and_then(|it| it.unavailable_for);
         let refusal = match closed_for {
-            Some(time) => self.backed_off(time),
+            Some(time) => self.backoff_refusal(time),
             None => Refusal::new(reason(standing)),
         };
         refusal.with_standing(standing)
@@ -195,8 +195,8 @@
     /// Delivers an owner's answer; declines the place if its request no longer waits.
     pub(crate) fn answer(&self, from: SocketAddr, number: u64, answer: Answer) {
         self.state.borrow_mut().members.record_answer(from);
-        if !self.pending.answer(number, answer) {
-            if let Some(time) = self.pending.note_late(number, &answer, self.now()) {
+        if !self.pending.deliver(number, answer) {
+            if let Some(time) = self.pending.record_late(number, &answer, self.now()) {
                 self.metrics
                     .time("late_answer_seconds", answer.label(), time);
             }
@@ -249,7 +249,7 @@
 
 impl<'a> Query<'a> {
     fn new(node: &'a Rc<Node>, owner: SocketAddr) -> Self {
-        let (number, answers) = node.pending.put();
+        let (number, answers) = node.pending.register();
         Self {
             node,
             owner,
@@ -333,7 +333,7 @@
             content: wish.content,
             standing: grant.standing,
         };
-        self.node.pending.accept(self.owner, grant.number);
+        self.node.pending.confirm(self.owner, grant.number);
         Outcome::Placed(Lease::new(self.node, place))
     }
 }
@@ -353,9 +353,9 @@
 
 impl Drop for Query<'_> {
     fn drop(&mut self) {
-        self.node.pending.close(self.number);
+        self.node.pending.remove(self.number);
         if !self.accepted {
-            self.node.pending.give_up(self.number, self.asked);
+            self.node.pending.abandon(self.number, self.asked);
             self.node.send(self.owner, Content::Withdraw(self.number));
         }
     }
--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -82,7 +82,7 @@
     }
 
     /// Places a request of this router's callers by what this router knows, now or later.
-    pub(crate) async fn place_here(self: &Rc<Self>, mut wish: Wish) -> Result<Lease, Refusal> {
+    pub(crate) async fn place_locally(self: &Rc<Self>, mut wish: Wish) -> Result<Lease, Refusal> {
         if self.state.borrow().held(&wish, self.now()) {
             return Err(Refusal::new(Reason::Suspected));
         }
@@ -94,7 +94,7 @@
         let opening = self.state.borrow().opening_for(&wish, now);
         if let Some(time) = opening.closed_for(&wish, now) {
             self.state.borrow_mut().refuse(&wish, now);
-            return Err(self.backed_off(time));
+            return Err(self.backoff_refusal(time));
         }
         let until = wish.until;
         let customer = wish.customer;
--- a/crates/path/src/wake.rs
+++ b/crates/path/src/wake.rs
@@ -71,7 +71,7 @@
     }
 
     /// Whether the views have been confirmed since the last suspension, or can't be.
-    pub(crate) fn confirmed_since_wake(&self) -> bool {
+    pub(crate) fn views_confirmed(&self) -> bool {
         let Some(woken) = self.wake.at.get() else {
             return true;
         };
