--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -24,7 +24,7 @@
 
 /// The router that granted a place, and refunds its charge if the target has not run the request.
 #[derive(Clone, Copy, Debug)]
-pub enum Giver {
+pub enum Granter {
     /// This router.
     Own(Option<Charge>),
     /// Another router.
@@ -52,7 +52,7 @@
     /// The router that granted it.
     pub owner: SocketAddr,
     /// The same, with what is needed to refund the charge.
-    pub giver: Giver,
+    pub giver: Granter,
     /// Content of the request, if the place was requested with it.
     pub content: Option<ContentTag>,
     /// Standing of the request's customer.
@@ -81,7 +81,7 @@
     pub owner: SocketAddr,
     /// Standing of the request's customer.
     pub standing: Option<Standing>,
-    giver: Giver,
+    giver: Granter,
     cell: cell::Cell,
     unread: Cell<u64>,
     content: Option<ContentTag>,
@@ -223,7 +223,7 @@
     /// has not run the request.
     fn not_run_number(&self, owner: SocketAddr) -> Option<u64> {
         match self.giver {
-            Giver::Peer { address, number } if address == owner => {
+            Granter::Peer { address, number } if address == owner => {
                 (!self.used.get()).then_some(number)
             }
             _ => None,
@@ -233,11 +233,11 @@
     /// Refunds the charge of a place that was not used, unless the cell's owner does so.
     fn refund(&self, node: &Node, owner: SocketAddr) {
         match self.giver {
-            Giver::Own(charge) => node.state.borrow_mut().take_back(charge, node.now()),
-            Giver::Peer { address, number } if address != owner => {
+            Granter::Own(charge) => node.state.borrow_mut().take_back(charge, node.now()),
+            Granter::Peer { address, number } if address != owner => {
                 node.send(address, Content::Withdraw(number));
             }
-            Giver::Peer { .. } => {}
+            Granter::Peer { .. } => {}
         }
     }
 
@@ -262,7 +262,7 @@
             let mut state = node.state.borrow_mut();
             state.usage.end_prefill(tag, unread);
             state.usage.end(tag);
-            if let (Giver::Own(_), Some(content)) = (self.giver, self.content) {
+            if let (Granter::Own(_), Some(content)) = (self.giver, self.content) {
                 state.copies.end(content, tag);
             }
         }
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -18,7 +18,7 @@
 use tokio::sync::mpsc;
 
 use crate::inbox;
-use crate::lease::{Giver, Lease, Place};
+use crate::lease::{Granter, Lease, Place};
 use crate::node::Node;
 use crate::pending::Answer;
 use crate::reply::{Reason, Refusal};
@@ -326,7 +326,7 @@
             hit: grant.hit,
             fetch,
             owner: self.owner,
-            giver: Giver::Peer {
+            giver: Granter::Peer {
                 address: self.owner,
                 number: grant.number,
             },
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 
 use super::{Claim, State, Wish};
-use crate::lease::{Giver, Lease, Place};
+use crate::lease::{Granter, Lease, Place};
 use crate::queue::{Asker, Origin, Waiter};
 use crate::settings::Settings;
 
@@ -213,7 +213,7 @@
             hit: choice.hit,
             fetch: choice.fetch.map(|it| it.address),
             owner: own,
-            giver: Giver::Own(charge),
+            giver: Granter::Own(charge),
             content: wish.content,
             standing: self.standing(wish, now),
         }
