--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -52,7 +52,7 @@
     /// The router that granted it.
     pub owner: SocketAddr,
     /// The same, with what is needed to refund the charge.
-    pub giver: Granter,
+    pub granter: Granter,
     /// Content of the request, if the place was requested with it.
     pub content: Option<ContentTag>,
     /// Standing of the request's customer.
@@ -81,7 +81,7 @@
     pub owner: SocketAddr,
     /// Standing of the request's customer.
     pub standing: Option<Standing>,
-    giver: Granter,
+    granter: Granter,
     cell: cell::Cell,
     unread: Cell<u64>,
     content: Option<ContentTag>,
@@ -104,7 +104,7 @@
             fetch: place.fetch,
             owner: place.owner,
             standing: place.standing,
-            giver: place.giver,
+            granter: place.granter,
             cell: place.cell,
             unread: Cell::new(place.unread),
             content: place.content,
@@ -222,7 +222,7 @@
     /// The number of the request at the cell's owner, if the owner granted the place and the target
     /// has not run the request.
     fn not_run_number(&self, owner: SocketAddr) -> Option<u64> {
-        match self.giver {
+        match self.granter {
             Granter::Peer { address, number } if address == owner => {
                 (!self.used.get()).then_some(number)
             }
@@ -232,7 +232,7 @@
 
     /// Refunds the charge of a place that was not used, unless the cell's owner does so.
     fn refund(&self, node: &Node, owner: SocketAddr) {
-        match self.giver {
+        match self.granter {
             Granter::Own(charge) => node.state.borrow_mut().take_back(charge, node.now()),
             Granter::Peer { address, number } if address != owner => {
                 node.send(address, Content::Withdraw(number));
@@ -262,7 +262,7 @@
             let mut state = node.state.borrow_mut();
             state.usage.end_prefill(tag, unread);
             state.usage.end(tag);
-            if let (Granter::Own(_), Some(content)) = (self.giver, self.content) {
+            if let (Granter::Own(_), Some(content)) = (self.granter, self.content) {
                 state.copies.end(content, tag);
             }
         }
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -326,7 +326,7 @@
             hit: grant.hit,
             fetch,
             owner: self.owner,
-            giver: Granter::Peer {
+            granter: Granter::Peer {
                 address: self.owner,
                 number: grant.number,
             },
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -213,7 +213,7 @@
             hit: choice.hit,
             fetch: choice.fetch.map(|it| it.address),
             owner: own,
-            giver: Granter::Own(charge),
+            granter: Granter::Own(charge),
             content: wish.content,
             standing: self.standing(wish, now),
         }
