--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -21,7 +21,7 @@
 use crate::cut;
 use crate::node::Node;
 use crate::quarantine;
-use crate::queue::Asker;
+use crate::queue::Requester;
 use crate::state::{Claim, Wish};
 
 /// Interval at which unused places are logged.
@@ -43,7 +43,7 @@
 /// Handles a router's request for a place.
 pub fn ask(node: &Rc<Node>, peer: Peer, address: SocketAddr, ask: Request) {
     let now = node.now();
-    let asker = Asker {
+    let asker = Requester {
         peer,
         address,
         number: ask.number,
--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -29,12 +29,12 @@
     /// A caller of this router.
     Here(oneshot::Sender<Lease>),
     /// Another router.
-    Peer(Asker),
+    Peer(Requester),
 }
 
 /// A request of another router.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Asker {
+pub(crate) struct Requester {
     pub(crate) peer: Peer,
     pub(crate) address: SocketAddr,
     /// Number of the request at that router.
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -12,7 +12,7 @@
 
 use super::{Claim, State, Wish};
 use crate::lease::{Granter, Lease, Place};
-use crate::queue::{Asker, Origin, Waiter};
+use crate::queue::{Origin, Requester, Waiter};
 use crate::settings::Settings;
 
 /// Places that a pass over the queue found.
@@ -43,11 +43,11 @@
     pub(crate) fn answer(
         &mut self,
         settings: &Settings,
-        asker: Asker,
+        asker: Requester,
         mut wish: Wish,
         now: Duration,
     ) -> Content {
-        let Asker { peer, number, .. } = asker;
+        let Requester { peer, number, .. } = asker;
         if let Some(grant) = self.grants.find(RequestId { peer, number }) {
             return Content::Grant(grant);
         }
@@ -222,12 +222,12 @@
     /// Gives a place to another router's request.
     pub(crate) fn begin_for(
         &mut self,
-        asker: Asker,
+        asker: Requester,
         wish: &Wish,
         choice: &Choice,
         now: Duration,
     ) -> Grant {
-        let Asker { peer, number, .. } = asker;
+        let Requester { peer, number, .. } = asker;
         let tag = choice.target.tag();
         self.usage.begin_for(peer, tag, choice.unread, now);
         self.cold.record_request(tag, now);
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -17,7 +17,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::*;
-use crate::queue::Asker;
+use crate::queue::Requester;
 use crate::settings::{ColdBound, Patience};
 
 mod homes;
@@ -454,8 +454,8 @@
     }
 }
 
-fn asker(router: u64, number: u64) -> Asker {
-    Asker {
+fn asker(router: u64, number: u64) -> Requester {
+    Requester {
         peer: Peer(router),
         address: ([127, 0, 0, 2], 1).into(),
         number,
