--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -57,7 +57,7 @@
 
 impl Waiter {
     /// Whether its caller has left or its deadline has passed.
-    pub(crate) fn given_up(&self, now: Duration) -> bool {
+    pub(crate) fn is_abandoned(&self, now: Duration) -> bool {
         match &self.origin {
             Origin::Here(reply) => reply.is_closed(),
             Origin::Peer(_) => now >= self.wish.until,
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -285,7 +285,7 @@
     pub(crate) fn pass(&mut self, settings: &Settings, now: Duration) -> Pass {
         let mut pass = Pass::default();
         let mut queue = std::mem::take(&mut self.queue);
-        for waiter in queue.extract_if(.., |it| it.given_up(now)) {
+        for waiter in queue.extract_if(.., |it| it.is_abandoned(now)) {
             self.refuse(&waiter.wish, now);
         }
         queue.retain(|it| !self.held(&it.wish, now));
