--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -43,7 +43,7 @@
 
 impl Origin {
     /// Whether it is the request `number` of the router `peer`.
-    pub(crate) fn is(&self, peer: Peer, number: u64) -> bool {
+    pub(crate) fn matches(&self, peer: Peer, number: u64) -> bool {
         matches!(self, Self::Peer(it) if it.peer == peer && it.number == number)
     }
 }
--- a/crates/path/src/state/ended.rs
+++ b/crates/path/src/state/ended.rs
@@ -16,7 +16,7 @@
     /// Another router's request no longer waits; if it was given a place, that is not used.
     pub(crate) fn withdraw(&mut self, peer: Peer, number: u64, now: Duration) {
         let mut queue = std::mem::take(&mut self.queue);
-        for waiter in queue.extract_if(.., |it| it.origin.is(peer, number)) {
+        for waiter in queue.extract_if(.., |it| it.origin.matches(peer, number)) {
             self.refuse(&waiter.wish, now);
         }
         self.queue = queue;
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -51,7 +51,7 @@
         if let Some(grant) = self.grants.find(RequestId { peer, number }) {
             return Content::Grant(grant);
         }
-        let known = self.queue.iter().any(|it| it.origin.is(peer, number));
+        let known = self.queue.iter().any(|it| it.origin.matches(peer, number));
         // What must not be sent now waits at its own router, not in the way of others.
         if !known && !self.held(&wish, now) {
             wish.returning |= self.returns(&wish, now);
--- a/crates/path/src/state/tests/returns.rs
+++ b/crates/path/src/state/tests/returns.rs
@@ -28,7 +28,7 @@
 
 fn waits_as_returning(fleet: &Fleet, number: u64) -> Option<bool> {
     let mut queue = fleet.owner.queue.iter();
-    let waiter = queue.find(|it| it.origin.is(Peer(1), number));
+    let waiter = queue.find(|it| it.origin.matches(Peer(1), number));
     waiter.map(|it| it.wish.returning)
 }
 
