--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub(crate) enum Origin {
     /// A caller of this router.
-    Here(oneshot::Sender<Lease>),
+    Local(oneshot::Sender<Lease>),
     /// Another router.
     Peer(Requester),
 }
@@ -59,7 +59,7 @@
     /// Whether its caller has left or its deadline has passed.
     pub(crate) fn is_abandoned(&self, now: Duration) -> bool {
         match &self.origin {
-            Origin::Here(reply) => reply.is_closed(),
+            Origin::Local(reply) => reply.is_closed(),
             Origin::Peer(_) => now >= self.wish.until,
         }
     }
@@ -102,7 +102,7 @@
         let waiter = Waiter {
             wish,
             cover: 1.0,
-            origin: Origin::Here(reply),
+            origin: Origin::Local(reply),
         };
         self.state.borrow_mut().queue.push(waiter);
         self.room.notify_one();
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -298,7 +298,7 @@
             match (choice, waiter) {
                 (None, waiter) => self.queue.push(waiter),
                 (Some(choice), Waiter { wish, origin, .. }) => match origin {
-                    Origin::Here(reply) => {
+                    Origin::Local(reply) => {
                         let place = self.begin(&wish, choice, settings.link, now);
                         pass.here.push((reply, place));
                     }
