--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -51,7 +51,7 @@
 /// A request that waits for capacity.
 pub(crate) struct Waiter {
     pub(crate) wish: Wish,
-    pub(crate) cover: f64,
+    pub(crate) share_ratio: f64,
     pub(crate) origin: Origin,
 }
 
@@ -101,7 +101,7 @@
         let (reply, receiver) = oneshot::channel();
         let waiter = Waiter {
             wish,
-            cover: 1.0,
+            share_ratio: 1.0,
             origin: Origin::Local(reply),
         };
         self.state.borrow_mut().queue.push(waiter);
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -71,7 +71,7 @@
             }
             self.queue.push(Waiter {
                 wish,
-                cover,
+                share_ratio: cover,
                 origin: Origin::Peer(asker),
             });
             return self.wait(number, customer, None, now);
@@ -290,11 +290,11 @@
         }
         queue.retain(|it| !self.held(&it.wish, now));
         for waiter in &mut queue {
-            waiter.cover = self.cover(&waiter.wish, now);
+            waiter.share_ratio = self.cover(&waiter.wish, now);
         }
-        queue.sort_by_key(|it| (it.cover < 1.0, it.wish.returning, it.wish.arrived));
+        queue.sort_by_key(|it| (it.share_ratio < 1.0, it.wish.returning, it.wish.arrived));
         for waiter in queue {
-            let choice = self.choose(settings, &waiter.wish, waiter.cover, now);
+            let choice = self.choose(settings, &waiter.wish, waiter.share_ratio, now);
             match (choice, waiter) {
                 (None, waiter) => self.queue.push(waiter),
                 (Some(choice), Waiter { wish, origin, .. }) => match origin {
