--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -179,7 +179,7 @@
         cut::reached(node, &lease.target);
     }
     opened.map_err(|error| {
-        lease.note(Outcome::Unreachable);
+        lease.record_outcome(Outcome::Unreachable);
         cut::unreachable(node, &lease.target, &error);
         let line = node
             .journal
@@ -206,7 +206,7 @@
     let sent = wait(node, job, lease, sent, limit).await;
     let Some(sent) = sent else {
         doubt(node, lease, &connection);
-        lease.note(Outcome::Bad);
+        lease.record_outcome(Outcome::Bad);
         lease.cut(Break::Silent);
         return Err(Failure::new(Verdict::Unknown, "no_answer"));
     };
@@ -220,7 +220,7 @@
             doubt(node, lease, &connection);
             // An idle connection that its target closed just then says nothing of its health.
             if !connection.used || node.now() > begun + CROSSED {
-                lease.note(Outcome::Bad);
+                lease.record_outcome(Outcome::Bad);
             }
             lease.cut(Break::Closed);
             Err(Failure::new(Verdict::Unknown, "broken_off"))
@@ -252,7 +252,7 @@
         return Some(answer);
     }
     if early < limit {
-        lease.note(Outcome::Bad);
+        lease.record_outcome(Outcome::Bad);
         let line = node
             .journal
             .line("target_silent")
@@ -320,7 +320,7 @@
         return Err(Failure::new(Verdict::NotRun, "turned_away"));
     }
     if !answer.genuine || answer.id.is_none() {
-        lease.note(Outcome::Bad);
+        lease.record_outcome(Outcome::Bad);
         return Err(Failure::new(Verdict::Unknown, "not_genuine"));
     }
     Ok(())
--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -378,7 +378,7 @@
     let body = match read {
         Some(Ok(body)) => body.to_bytes(),
         broken => {
-            attempt.lease.note(Outcome::Bad);
+            attempt.lease.record_outcome(Outcome::Bad);
             attempt.lease.cut(match broken {
                 Some(_) => Break::Closed,
                 None => Break::Silent,
@@ -394,7 +394,7 @@
     } else {
         Outcome::Good
     };
-    attempt.lease.note(outcome);
+    attempt.lease.record_outcome(outcome);
     attempt.lease.survived();
     let head = answer_head(&attempt.head, false);
     let line = node.journal.line("answered").with("id", job.id.as_ref());
--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -122,7 +122,7 @@
     }
 
     /// Records the outcome of the exchange.
-    pub fn note(&self, outcome: Outcome) {
+    pub fn record_outcome(&self, outcome: Outcome) {
         self.outcome.set(Some(outcome));
         let Some(node) = self.node.upgrade() else {
             return;
--- a/crates/path/src/relay.rs
+++ b/crates/path/src/relay.rs
@@ -219,7 +219,7 @@
     fn finish(&mut self) {
         self.ended = true;
         if let Some(attempt) = self.attempt.take() {
-            attempt.lease.note(Outcome::Good);
+            attempt.lease.record_outcome(Outcome::Good);
             attempt.finish(&self.node);
         }
         self.tell("answered", "complete");
@@ -313,7 +313,7 @@
     fn end_attempt(&mut self, reason: &'static str) -> Option<Tag> {
         let attempt = self.attempt.take()?;
         if reason != "expired" {
-            attempt.lease.note(Outcome::Bad);
+            attempt.lease.record_outcome(Outcome::Bad);
             attempt.lease.cut(if reason == CLOSED {
                 Break::Closed
             } else {
