--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -201,7 +201,7 @@
 ) -> Result<(Response<Incoming>, Connection), Failure> {
     let request = request(node, job, lease, resume_after);
     let begun = node.now();
-    lease.sent(job.content);
+    lease.record_sent(job.content);
     let sent = connection.sender.try_send_request(request);
     let sent = wait(node, job, lease, sent, limit).await;
     let Some(sent) = sent else {
--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -138,7 +138,7 @@
 
     /// Records that the request is sent: from now on the target may run it. A request that is lost
     /// after that stays charged, as the target may have read the prompt.
-    pub fn sent(&self, content: Digest) {
+    pub fn record_sent(&self, content: Digest) {
         self.used.set(true);
         if let Some(node) = self.node.upgrade() {
             let last_progress = node.now();
