--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -150,7 +150,7 @@
     }
 
     /// Records that the target has sent some of its answer.
-    pub fn heard(&self) {
+    pub fn record_progress(&self) {
         if let (Some(node), Some(run)) = (self.node.upgrade(), self.run.get()) {
             let last_progress = node.now();
             self.run.set(Some(Run {
--- a/crates/path/src/relay.rs
+++ b/crates/path/src/relay.rs
@@ -210,7 +210,7 @@
         let Some(attempt) = &self.attempt else {
             return;
         };
-        attempt.lease.heard();
+        attempt.lease.record_progress();
         if !std::mem::replace(&mut self.begun, true) {
             attempt.lease.read();
         }
