--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -347,7 +347,7 @@
     if attempt.head.status.is_server_error() {
         let repeatable = job.route.kind == Kind::Idempotent && sends < job.route.attempts;
         if repeatable && node.may_repeat(&job.service) {
-            attempt.lease.survived();
+            attempt.lease.record_alive();
             return Err(Failure {
                 verdict: Verdict::Repeat,
                 reason: "target_error",
@@ -395,7 +395,7 @@
         Outcome::Good
     };
     attempt.lease.record_outcome(outcome);
-    attempt.lease.survived();
+    attempt.lease.record_alive();
     let head = answer_head(&attempt.head, false);
     let line = node.journal.line("answered").with("id", job.id.as_ref());
     let line = line
--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -161,7 +161,7 @@
     }
 
     /// Records that the target has answered, though not well, so it has not ended.
-    pub fn survived(&self) {
+    pub fn record_alive(&self) {
         self.run.set(None);
     }
 
