--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -207,7 +207,7 @@
     let Some(sent) = sent else {
         doubt(node, lease, &connection);
         lease.record_outcome(Outcome::Bad);
-        lease.cut(Break::Silent);
+        lease.record_interruption(Break::Silent);
         return Err(Failure::new(Verdict::Unknown, "no_answer"));
     };
     match sent {
@@ -222,7 +222,7 @@
             if !connection.used || node.now() > begun + CROSSED {
                 lease.record_outcome(Outcome::Bad);
             }
-            lease.cut(Break::Closed);
+            lease.record_interruption(Break::Closed);
             Err(Failure::new(Verdict::Unknown, "broken_off"))
         }
     }
--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -379,7 +379,7 @@
         Some(Ok(body)) => body.to_bytes(),
         broken => {
             attempt.lease.record_outcome(Outcome::Bad);
-            attempt.lease.cut(match broken {
+            attempt.lease.record_interruption(match broken {
                 Some(_) => Break::Closed,
                 None => Break::Silent,
             });
--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -167,7 +167,7 @@
 
     /// Records that the answer broke off or did not come, and starts to find out what became of the
     /// target.
-    pub fn cut(&self, how: Break) {
+    pub fn record_interruption(&self, how: Break) {
         if let (Some(node), Some(run)) = (self.node.upgrade(), self.run.take()) {
             cut::note(&node, &self.target, self.cell, run.content, how);
         }
@@ -178,7 +178,7 @@
         if let Some(run) = self.run.get()
             && node.now().saturating_sub(run.last_progress) >= SILENCE_TIMEOUT
         {
-            self.cut(Break::Silent);
+            self.record_interruption(Break::Silent);
         }
     }
 
--- a/crates/path/src/relay.rs
+++ b/crates/path/src/relay.rs
@@ -314,7 +314,7 @@
         let attempt = self.attempt.take()?;
         if reason != "expired" {
             attempt.lease.record_outcome(Outcome::Bad);
-            attempt.lease.cut(if reason == CLOSED {
+            attempt.lease.record_interruption(if reason == CLOSED {
                 Break::Closed
             } else {
                 Break::Silent
