--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -214,7 +214,7 @@
         Ok(response) => Ok((response, connection)),
         Err(mut error) => {
             if error.take_message().is_some() {
-                lease.not_run();
+                lease.record_not_run();
                 return Err(Failure::new(Verdict::NotSent, "connection_closed"));
             }
             doubt(node, lease, &connection);
@@ -308,7 +308,7 @@
     tell::said(node, job, lease, head.status, &answer);
     if head.status == StatusCode::MISDIRECTED_REQUEST {
         node.replaced(&lease.target);
-        lease.not_run();
+        lease.record_not_run();
         return Err(Failure::new(Verdict::NotRun, "misdirected"));
     }
     if answer.id.as_ref().is_some_and(|it| *it != job.id) {
@@ -316,7 +316,7 @@
     }
     hear(node, lease, head.status, &answer);
     if answer.not_run {
-        lease.not_run();
+        lease.record_not_run();
         return Err(Failure::new(Verdict::NotRun, "turned_away"));
     }
     if !answer.genuine || answer.id.is_none() {
--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -183,7 +183,7 @@
     }
 
     /// Records that the target has not run the request and will not.
-    pub fn not_run(&self) {
+    pub fn record_not_run(&self) {
         self.used.set(false);
         self.run.set(None);
     }
