--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -298,7 +298,7 @@
         StatusCode::TOO_MANY_REQUESTS,
     ];
     if full.contains(&status) && (answer.not_run || named.is_some()) {
-        lease.refused(Refusal { backoff: named });
+        lease.record_refusal(Refusal { backoff: named });
     }
 }
 
--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -190,7 +190,7 @@
 
     /// Records that the target has refused the request. The owner of the cell learns it with the
     /// return of the place.
-    pub fn refused(&self, refusal: Refusal) {
+    pub fn record_refusal(&self, refusal: Refusal) {
         self.refusal.set(Some(refusal));
         if let Some(node) = self.node.upgrade() {
             let (tag, now) = (self.target.tag(), node.now());
