--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -201,7 +201,7 @@
     }
 
     /// Records that the target has read the prompt.
-    pub fn read(&self) {
+    pub fn record_prefill_end(&self) {
         let unread = self.unread.take();
         let Some(node) = self.node.upgrade() else {
             return;
--- a/crates/path/src/relay.rs
+++ b/crates/path/src/relay.rs
@@ -212,7 +212,7 @@
         };
         attempt.lease.record_progress();
         if !std::mem::replace(&mut self.begun, true) {
-            attempt.lease.read();
+            attempt.lease.record_prefill_end();
         }
     }
 
