--- a/crates/path/src/inbox.rs
+++ b/crates/path/src/inbox.rs
@@ -92,7 +92,7 @@
     let sender = message.sender;
     match message.content {
         Content::Heartbeat(greeting) => gossip::hear(node, greeting),
-        Content::Request(ask) => owner::ask(node, sender, from, ask),
+        Content::Request(ask) => owner::request(node, sender, from, ask),
         Content::Grant(grant) => node.answer(from, grant.number, Answer::Grant(grant)),
         Content::Wait(wait) => node.answer(from, wait.number, Answer::Wait(wait)),
         Content::Withdraw(number) => owner::withdraw(node, sender, number),
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -41,7 +41,7 @@
 const MAX_USES: usize = 400;
 
 /// Handles a router's request for a place.
-pub fn ask(node: &Rc<Node>, peer: Peer, address: SocketAddr, ask: Request) {
+pub fn request(node: &Rc<Node>, peer: Peer, address: SocketAddr, ask: Request) {
     let now = node.now();
     let asker = Requester {
         peer,
