--- a/crates/path/src/inbox.rs
+++ b/crates/path/src/inbox.rs
@@ -98,7 +98,7 @@
         Content::Withdraw(number) => owner::withdraw(node, sender, number),
         Content::Read { tag, unread } => owner::read(node, sender, tag, unread),
         Content::Return(returned) => owner::returned(node, sender, returned),
-        Content::LoadReport(work) => owner::work(node, sender, &work),
+        Content::LoadReport(work) => owner::load_report(node, sender, &work),
         Content::Findings(findings) => quarantine::hear(node, &findings),
         Content::Leaving(report) => leaving::hear(node, report.notices()),
     }
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -105,7 +105,7 @@
 }
 
 /// Handles a router's report of its load at the targets of this router's cells.
-pub fn work(node: &Rc<Node>, peer: Peer, work: &LoadReport) {
+pub fn load_report(node: &Rc<Node>, peer: Peer, work: &LoadReport) {
     let now = node.now();
     {
         let mut state = node.state.borrow_mut();
