--- a/crates/path/src/inbox.rs
+++ b/crates/path/src/inbox.rs
@@ -27,7 +27,7 @@
     node.courier.open(socket.clone());
     tokio::join!(
         gossip::run(node.clone()),
-        owner::report_work(node.clone()),
+        owner::report_load(node.clone()),
         receive(node, socket),
     );
 }
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -153,7 +153,7 @@
 }
 
 /// Reports this router's load at targets to their owners for as long as it runs.
-pub async fn report_work(node: Rc<Node>) {
+pub async fn report_load(node: Rc<Node>) {
     let mut timer = tokio::time::interval(REPORT_INTERVAL);
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut reporter = Reporter::default();
