--- a/crates/path/src/evacuation.rs
+++ b/crates/path/src/evacuation.rs
@@ -76,7 +76,7 @@
         }
         if !changes.is_empty() {
             gossip::spread(self);
-            self.room_came();
+            self.notify_capacity();
         }
     }
 }
--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -216,7 +216,7 @@
             state.backoffs.record_running(tag, node.now());
         }
         self.send_to_owner(&node, Content::Read { tag, unread });
-        node.room_came();
+        node.notify_capacity();
     }
 
     /// The number of the request at the cell's owner, if the owner granted the place and the target
@@ -281,6 +281,6 @@
         if owner != node.settings.link {
             node.send(owner, Content::Return(returned));
         }
-        node.room_came();
+        node.notify_capacity();
     }
 }
--- a/crates/path/src/leaving.rs
+++ b/crates/path/src/leaving.rs
@@ -87,6 +87,6 @@
         }
     }
     if !changes.is_empty() {
-        node.room_came();
+        node.notify_capacity();
     }
 }
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -247,7 +247,7 @@
         );
         self.metrics.add("configurations", source, 1);
         gossip::spread(self);
-        self.room_came();
+        self.notify_capacity();
     }
 
     /// Logs regions that contain no failure domain: routes and customers that are restricted to
@@ -371,7 +371,7 @@
     }
 
     /// Wakes the queue, as capacity may have become available for requests that wait.
-    pub fn room_came(&self) {
+    pub fn notify_capacity(&self) {
         if !self.state.borrow().queue.is_empty() {
             self.room.notify_one();
         }
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -74,21 +74,21 @@
         state.answer(&node.settings, asker, wish, now)
     };
     node.send(address, answer);
-    node.room_came();
+    node.notify_capacity();
 }
 
 /// Handles a withdrawn request: it no longer waits, and a place granted for it is not used.
 pub fn withdraw(node: &Rc<Node>, peer: Peer, number: u64) {
     let now = node.now();
     node.state.borrow_mut().withdraw(peer, number, now);
-    node.room_came();
+    node.notify_capacity();
 }
 
 /// Handles a router's message that a target has read its prompt.
 pub fn read(node: &Rc<Node>, peer: Peer, tag: Tag, unread: u64) {
     let now = node.now();
     node.state.borrow_mut().read_for(peer, tag, unread, now);
-    node.room_came();
+    node.notify_capacity();
 }
 
 /// Handles the return of a router's place.
@@ -101,7 +101,7 @@
             quarantine::answered(node, content);
         }
     }
-    node.room_came();
+    node.notify_capacity();
 }
 
 /// Handles a router's report of its load at the targets of this router's cells.
@@ -122,7 +122,7 @@
             state.shares.record_peer(peer, &work.customers, now);
         }
     }
-    node.room_came();
+    node.notify_capacity();
 }
 
 impl Node {
@@ -163,7 +163,7 @@
         let now = node.now();
         let expired = node.state.borrow_mut().prune(now);
         // Places that were not confirmed in time have expired.
-        node.room_came();
+        node.notify_capacity();
         for target in expired {
             let line = node.journal.line("backoff_over");
             drop(line.with("target", target.id.as_ref()));
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -82,7 +82,7 @@
         }
         if changed {
             self.pool.trim(self.now(), |tag| self.gone(tag));
-            self.room_came();
+            self.notify_capacity();
         }
     }
 
@@ -144,7 +144,7 @@
         if let Some(change) = change {
             self.apply_change(&change, "target", now);
             self.pool.trim(now, |tag| self.gone(tag));
-            self.room_came();
+            self.notify_capacity();
         }
     }
 
--- a/crates/path/src/wake.rs
+++ b/crates/path/src/wake.rs
@@ -67,7 +67,7 @@
         drop(line.with("open", self.open.get()));
         self.pool.close_all();
         self.wake.count.send_modify(|count| *count += 1);
-        self.room_came();
+        self.notify_capacity();
     }
 
     /// Whether the views have been confirmed since the last suspension, or can't be.
