--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -385,7 +385,7 @@
     }
 
     /// Adds the versions and ages of the views to a request's log line.
-    pub(crate) fn views(&self, line: Line) -> Line {
+    pub(crate) fn with_views(&self, line: Line) -> Line {
         let state = self.state.borrow();
         let age = state
             .registry
--- a/crates/path/src/tell.rs
+++ b/crates/path/src/tell.rs
@@ -60,7 +60,7 @@
         line = with_properties(job, refused.standing, line);
     }
     let line = line.with("owner", refused.owner.map(|it| it.to_string()));
-    drop(node.views(line));
+    drop(node.with_views(line));
 }
 
 /// Adds properties of a request and its customer's standing.
@@ -93,7 +93,7 @@
     let waited = node.now().saturating_sub(job.arrived);
     node.metrics.time("queued_seconds", &job.route.name, waited);
     let line = line.with_ms("waited_ms", waited);
-    drop(node.views(line));
+    drop(node.with_views(line));
 }
 
 /// Logs what a target states about itself in an answer, if anything.
