--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -142,7 +142,7 @@
     limit: Duration,
 ) -> Result<Attempt, Failure> {
     let target = lease.target.clone();
-    if node.doubtful(&target) {
+    if node.may_be_partitioned(&target) {
         node.pool.close(target.tag());
     }
     let connection = match node.pool.take(target.tag(), node.now()) {
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -337,7 +337,7 @@
     /// Whether the network to a target may be partitioned, so that only a new connection proves it
     /// reachable.
     #[must_use]
-    pub fn doubtful(&self, target: &Target) -> bool {
+    pub fn may_be_partitioned(&self, target: &Target) -> bool {
         self.state
             .borrow()
             .reach
