--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -308,10 +308,10 @@
     }
     match failure.verdict {
         Verdict::NotSent | Verdict::Repeat => true,
-        Verdict::NotRun => node.may_repeat(&job.service),
+        Verdict::NotRun => node.try_take_retry(&job.service),
         Verdict::Unknown => {
             let repeatable = matches!(job.route.kind, Kind::Idempotent | Kind::Resumable);
-            repeatable && sends < attempts && node.may_repeat(&job.service)
+            repeatable && sends < attempts && node.try_take_retry(&job.service)
         }
     }
 }
@@ -346,7 +346,7 @@
 ) -> Result<Response<Content>, Failure> {
     if attempt.head.status.is_server_error() {
         let repeatable = job.route.kind == Kind::Idempotent && sends < job.route.attempts;
-        if repeatable && node.may_repeat(&job.service) {
+        if repeatable && node.try_take_retry(&job.service) {
             attempt.lease.record_alive();
             return Err(Failure {
                 verdict: Verdict::Repeat,
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -360,7 +360,7 @@
     }
 
     /// Takes one retry from the budget of a service.
-    pub fn may_repeat(&self, service: &Arc<str>) -> bool {
+    pub fn try_take_retry(&self, service: &Arc<str>) -> bool {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let routers = state.members.count();
--- a/crates/path/src/relay.rs
+++ b/crates/path/src/relay.rs
@@ -331,6 +331,6 @@
     fn may_repeat(&self) -> bool {
         let expired = self.node.now() >= self.job.deadline;
         let harmful = exchange::unsafe_to_send(&self.node, &self.job).is_some();
-        !expired && !harmful && self.node.may_repeat(&self.job.service)
+        !expired && !harmful && self.node.try_take_retry(&self.job.service)
     }
 }
