--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -60,7 +60,7 @@
 
 /// Serves one request.
 pub async fn serve(node: Rc<Node>, request: Request<Incoming>) -> Response<Content> {
-    node.look_for_wake();
+    node.detect_suspension();
     let arrived = node.now();
     let (head, body) = request.into_parts();
     let mut response = match answer(&node, head, body, arrived).await {
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -55,7 +55,7 @@
     loop {
         let late = timer.tick().await.elapsed();
         node.note_lateness(late);
-        node.look_for_wake();
+        node.detect_suspension();
         let late = late + node.wake.take_late();
         let now = node.now();
         let effects = node.state.borrow_mut().membership.tick(now, late);
--- a/crates/path/src/inbox.rs
+++ b/crates/path/src/inbox.rs
@@ -47,7 +47,7 @@
     let Some(socket) = node.courier.socket() else {
         return;
     };
-    node.look_for_wake();
+    node.detect_suspension();
     let mut buffer = node.inbox.0.borrow_mut();
     for _ in 0..TURN {
         match socket.try_recv_from(&mut buffer) {
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -284,7 +284,7 @@
     /// When the configuration in force was last known to be the store's newest.
     #[must_use]
     pub fn configuration_at(&self) -> Option<Duration> {
-        self.look_for_wake();
+        self.detect_suspension();
         self.state.borrow().configuration_reads.at()
     }
 
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -172,7 +172,7 @@
     /// When the list of targets was true, its own or confirmed by a peer.
     #[must_use]
     pub fn targets_at(&self) -> Option<Duration> {
-        self.look_for_wake();
+        self.detect_suspension();
         self.state.borrow().registry.read_at()
     }
 
--- a/crates/path/src/wake.rs
+++ b/crates/path/src/wake.rs
@@ -53,7 +53,7 @@
 
 impl Node {
     /// Detects a suspension since the last call.
-    pub(crate) fn look_for_wake(&self) {
+    pub(crate) fn detect_suspension(&self) {
         let suspended = self.clock.suspended();
         let time = suspended.saturating_sub(self.wake.detected.get());
         if time < MIN_SUSPENSION {
