--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -248,7 +248,7 @@
     let mut answer = std::pin::pin!(answer);
     let silence = job.route.objective.mul_f64(SILENCE).max(SILENCE_LEAST);
     let early = limit.min(node.now() + silence);
-    if let Some(answer) = node.until(early, answer.as_mut()).await {
+    if let Some(answer) = node.timeout_at(early, answer.as_mut()).await {
         return Some(answer);
     }
     if early < limit {
@@ -260,7 +260,7 @@
         let line = line.with("target", lease.target.id.as_ref());
         drop(line.with_ms("after_ms", silence));
     }
-    node.until(limit, answer).await
+    node.timeout_at(limit, answer).await
 }
 
 fn request(
--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -130,7 +130,10 @@
 async fn read(node: &Rc<Node>, table: &Rc<Table>, body: Incoming) -> Result<Bytes, Refusal> {
     let limits = table.limits();
     let reading = Limited::new(body, limits.body_bytes).collect();
-    match node.until(node.now() + limits.idle_timeout, reading).await {
+    match node
+        .timeout_at(node.now() + limits.idle_timeout, reading)
+        .await
+    {
         None => Err(Refusal::new(Reason::SlowBody)),
         Some(Ok(body)) => Ok(body.to_bytes()),
         Some(Err(error)) if error.is::<LengthLimitError>() => Err(Refusal::new(Reason::TooLarge)),
@@ -374,7 +377,7 @@
 ) -> Result<Response<Content>, Failure> {
     let limit = answer_limit(node, job, sends.saturating_sub(1));
     let reading = Limited::new(&mut attempt.body, WHOLE_ANSWER).collect();
-    let read = node.until(limit, reading).await;
+    let read = node.timeout_at(limit, reading).await;
     let body = match read {
         Some(Ok(body)) => body.to_bytes(),
         broken => {
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -282,7 +282,7 @@
 
     async fn receive(&mut self, time: Duration, until: Duration) -> Option<Answer> {
         let limit = until.min(self.node.now() + time);
-        if let Some(answer) = self.node.until(limit, self.answers.recv()).await {
+        if let Some(answer) = self.node.timeout_at(limit, self.answers.recv()).await {
             return answer;
         }
         // On a late router, timers fire before the messages that came in time have been read.
--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -106,7 +106,7 @@
         };
         self.state.borrow_mut().queue.push(waiter);
         self.room.notify_one();
-        if let Some(Ok(lease)) = self.until(until, receiver).await {
+        if let Some(Ok(lease)) = self.timeout_at(until, receiver).await {
             return Ok(lease);
         }
         // Its deadline has passed, or the queue has dropped its sender.
@@ -137,7 +137,7 @@
         };
         match end {
             // The queue is served in either case.
-            Some(end) => drop(self.until(end, self.room.notified()).await),
+            Some(end) => drop(self.timeout_at(end, self.room.notified()).await),
             None => self.room.notified().await,
         }
     }
--- a/crates/path/src/relay.rs
+++ b/crates/path/src/relay.rs
@@ -184,7 +184,7 @@
         let Some(attempt) = &mut self.attempt else {
             return Piece::Failed("no_attempt");
         };
-        match self.node.until(limit, attempt.body.frame()).await {
+        match self.node.timeout_at(limit, attempt.body.frame()).await {
             None if limit >= self.job.deadline => Piece::Failed("expired"),
             None => Piece::Failed("silent"),
             Some(None) => Piece::End,
--- a/crates/path/src/wake.rs
+++ b/crates/path/src/wake.rs
@@ -87,7 +87,7 @@
 
     /// Output of `future`, or none if `moment` comes first. Output that is ready by then counts
     /// even if this task runs late.
-    pub(crate) async fn until<T>(
+    pub(crate) async fn timeout_at<T>(
         &self,
         moment: Duration,
         future: impl Future<Output = T>,
@@ -114,7 +114,7 @@
     /// Waits until a moment.
     pub(crate) async fn sleep_until(&self, moment: Duration) {
         // The future never completes, so this waits for the moment only.
-        let nothing = self.until(moment, std::future::pending::<()>()).await;
+        let nothing = self.timeout_at(moment, std::future::pending::<()>()).await;
         debug_assert!(nothing.is_none());
     }
 
