--- a/crates/path/src/inbox.rs
+++ b/crates/path/src/inbox.rs
@@ -93,8 +93,8 @@
     match message.content {
         Content::Heartbeat(greeting) => gossip::hear(node, greeting),
         Content::Request(ask) => owner::request(node, sender, from, ask),
-        Content::Grant(grant) => node.answer(from, grant.number, Answer::Grant(grant)),
-        Content::Wait(wait) => node.answer(from, wait.number, Answer::Wait(wait)),
+        Content::Grant(grant) => node.handle_answer(from, grant.number, Answer::Grant(grant)),
+        Content::Wait(wait) => node.handle_answer(from, wait.number, Answer::Wait(wait)),
         Content::Withdraw(number) => owner::withdraw(node, sender, number),
         Content::Read { tag, unread } => owner::read(node, sender, tag, unread),
         Content::Return(returned) => owner::returned(node, sender, returned),
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -193,7 +193,7 @@
     }
 
     /// Delivers an owner's answer; declines the place if its request no longer waits.
-    pub(crate) fn answer(&self, from: SocketAddr, number: u64, answer: Answer) {
+    pub(crate) fn handle_answer(&self, from: SocketAddr, number: u64, answer: Answer) {
         self.state.borrow_mut().members.record_answer(from);
         if !self.pending.deliver(number, answer) {
             if let Some(time) = self.pending.record_late(number, &answer, self.now()) {
