--- a/crates/path/src/cut.rs
+++ b/crates/path/src/cut.rs
@@ -67,7 +67,7 @@
             node.pool.put(target.tag(), connection, pool::UNNAMED, now);
         }
         Err(error) => {
-            node.note(&target, Outcome::Unreachable);
+            node.record_outcome(&target, Outcome::Unreachable);
             unreachable(&node, &target, &error);
         }
     }
--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -127,7 +127,7 @@
         let Some(node) = self.node.upgrade() else {
             return;
         };
-        node.note(&self.target, outcome);
+        node.record_outcome(&self.target, outcome);
         if outcome == Outcome::Good
             && let Some(run) = self.run.take()
         {
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -345,7 +345,7 @@
     }
 
     /// Records the outcome of an exchange with a target.
-    pub fn note(&self, target: &Target, outcome: Outcome) {
+    pub fn record_outcome(&self, target: &Target, outcome: Outcome) {
         let now = self.now();
         let ejected = self.state.borrow_mut().note(target, outcome, now);
         if ejected {
