--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -110,7 +110,7 @@
     pub(crate) unwritten: Unwritten,
     pub(crate) clock: Clock,
     pub(crate) wake: Wake,
-    pub(crate) room: Notify,
+    pub(crate) capacity: Notify,
     draws: Cell<u64>,
     /// Open connections of callers.
     pub(crate) open: Cell<usize>,
@@ -146,7 +146,7 @@
             unwritten: Unwritten::default(),
             clock,
             wake: Wake::default(),
-            room: Notify::new(),
+            capacity: Notify::new(),
             draws: Cell::new(rand::random()),
             open: Cell::new(0),
             leaving: watch::Sender::new(None),
@@ -373,7 +373,7 @@
     /// Wakes the queue, as capacity may have become available for requests that wait.
     pub fn notify_capacity(&self) {
         if !self.state.borrow().queue.is_empty() {
-            self.room.notify_one();
+            self.capacity.notify_one();
         }
     }
 
--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -105,7 +105,7 @@
             origin: Origin::Local(reply),
         };
         self.state.borrow_mut().queue.push(waiter);
-        self.room.notify_one();
+        self.capacity.notify_one();
         if let Some(Ok(lease)) = self.timeout_at(until, receiver).await {
             return Ok(lease);
         }
@@ -137,8 +137,8 @@
         };
         match end {
             // The queue is served in either case.
-            Some(end) => drop(self.timeout_at(end, self.room.notified()).await),
-            None => self.room.notified().await,
+            Some(end) => drop(self.timeout_at(end, self.capacity.notified()).await),
+            None => self.capacity.notified().await,
         }
     }
 
