--- a/crates/path/src/wake.rs
+++ b/crates/path/src/wake.rs
@@ -46,7 +46,7 @@
 
 impl Wake {
     /// Suspended time since the last call, in which no answers could be received.
-    pub(crate) fn take_late(&self) -> Duration {
+    pub(crate) fn take_suspended(&self) -> Duration {
         self.late.take()
     }
 }
