--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -102,7 +102,7 @@
         tell::refusal(node, &job.id, arrived, refusal, Some(&job));
         return Err(refusal);
     }
-    let mut departure = tell::Departure {
+    let mut departure = tell::Disconnect {
         node: node.clone(),
         job: job.clone(),
         answered: false,
--- a/crates/path/src/tell.rs
+++ b/crates/path/src/tell.rs
@@ -16,7 +16,7 @@
 use crate::reply::Refusal;
 
 /// Logs a caller that leaves before the head of its answer.
-pub struct Departure {
+pub struct Disconnect {
     /// The router.
     pub node: Rc<Node>,
     /// The request.
@@ -25,7 +25,7 @@
     pub answered: bool,
 }
 
-impl Drop for Departure {
+impl Drop for Disconnect {
     fn drop(&mut self) {
         if self.answered {
             return;
