--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -305,7 +305,7 @@
 /// Whether an answer belongs to the request and comes from the target.
 fn check(node: &Rc<Node>, job: &Job, lease: &Lease, head: &response::Parts) -> Result<(), Failure> {
     let answer = node.dialect.answer(head);
-    tell::said(node, job, lease, head.status, &answer);
+    tell::target_notice(node, job, lease, head.status, &answer);
     if head.status == StatusCode::MISDIRECTED_REQUEST {
         node.replaced(&lease.target);
         lease.record_not_run();
--- a/crates/path/src/tell.rs
+++ b/crates/path/src/tell.rs
@@ -97,7 +97,13 @@
 }
 
 /// Logs what a target states about itself in an answer, if anything.
-pub fn said(node: &Rc<Node>, job: &Job, lease: &Lease, status: StatusCode, answer: &Answer) {
+pub fn target_notice(
+    node: &Rc<Node>,
+    job: &Job,
+    lease: &Lease,
+    status: StatusCode,
+    answer: &Answer,
+) {
     if !answer.leaving && matches!(answer.backoff, Ok(None)) {
         return;
     }
