--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -190,7 +190,7 @@
 
 impl<'a> Draft<'a> {
     fn new(node: &'a Node, job: &'a Job) -> Self {
-        let draw = node.draw();
+        let draw = node.random();
         let state = node.state.borrow();
         let known = state.quarantine.status(job.content, node.now()) != Status::Free;
         let asked = known || !state.answered.contains(job.content);
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -167,7 +167,7 @@
     }
 
     /// A pseudorandom number, uniform over all values.
-    pub fn draw(&self) -> u64 {
+    pub fn random(&self) -> u64 {
         let next = self.draws.get().wrapping_add(0x9e37_79b9_7f4a_7c15);
         self.draws.set(next);
         xxhash_rust::xxh64::xxh64(&next.to_le_bytes(), 0)
@@ -176,7 +176,7 @@
     /// A pseudorandom fraction from 0 up to, but not including, 1, in steps of a thousandth.
     pub fn draw_part(&self) -> f64 {
         const STEPS: u32 = 1_000;
-        let step = u32::try_from(self.draw() % u64::from(STEPS)).unwrap_or_default();
+        let step = u32::try_from(self.random() % u64::from(STEPS)).unwrap_or_default();
         f64::from(step) / f64::from(STEPS)
     }
 
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -69,7 +69,7 @@
             avoid: ask.avoid,
             until: now + ask.max_wait,
             claim: Claim::All,
-            draw: node.draw(),
+            draw: node.random(),
         };
         state.answer(&node.settings, asker, wish, now)
     };
