--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -174,7 +174,7 @@
     }
 
     /// A pseudorandom fraction from 0 up to, but not including, 1, in steps of a thousandth.
-    pub fn draw_part(&self) -> f64 {
+    pub fn random_fraction(&self) -> f64 {
         const STEPS: u32 = 1_000;
         let step = u32::try_from(self.random() % u64::from(STEPS)).unwrap_or_default();
         f64::from(step) / f64::from(STEPS)
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -104,7 +104,7 @@
 
     /// Refusal of a request while all its targets are backed off for `time`.
     pub(crate) fn backoff_refusal(&self, time: Duration) -> Refusal {
-        let spread = RETURN_SPREAD.mul_f64(self.draw_part());
+        let spread = RETURN_SPREAD.mul_f64(self.random_fraction());
         Refusal::new(Reason::BackedOff).with_retry_after(time + spread)
     }
 
