--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -303,7 +303,7 @@
 
     /// The same, but zero for an isolated router, as those before it tell it nothing.
     #[must_use]
-    pub fn rank_heard(&self, duty: Duty, scope: Scope) -> usize {
+    pub fn rank_unless_isolated(&self, duty: Duty, scope: Scope) -> usize {
         if self.state.borrow().membership.is_isolated(self.now()) {
             return 0;
         }
