--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -318,7 +318,7 @@
 
     /// Time since a router was last lost; none if none was.
     #[must_use]
-    pub fn lost_since(&self) -> Option<Duration> {
+    pub fn time_since_loss(&self) -> Option<Duration> {
         let lost_at = self.gossip.lost_at();
         lost_at.map(|at| self.now().saturating_sub(at))
     }
