--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -325,7 +325,7 @@
 
     /// Places at targets that this router's requests hold.
     #[must_use]
-    pub fn places(&self) -> usize {
+    pub fn held_places(&self) -> usize {
         let state = self.state.borrow();
         let running = state
             .usage
