--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -226,7 +226,7 @@
     }
 
     /// Applies a configuration; one that is not newer than that in force is ignored.
-    pub fn take_configuration(&self, configuration: Configuration, source: &str) {
+    pub fn apply_configuration(&self, configuration: Configuration, source: &str) {
         let version = configuration.version;
         let before = self.table().map(|it| it.version());
         if before.is_some_and(|it| it >= version) {
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -182,7 +182,7 @@
         node.take_evacuations(orders, "peer");
     }
     if let Some(configuration) = view.configuration {
-        node.take_configuration(configuration, "peer");
+        node.apply_configuration(configuration, "peer");
         if let Some(reading) = view.configuration_read {
             let now = node.now();
             node.state.borrow_mut().hear_configuration(reading, now);
