--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -67,7 +67,7 @@
         Ok(response) => response,
         Err(refusal) => refusal.response(),
     };
-    if node.leaving().is_some() || node.strain.behind() {
+    if node.leaving_since().is_some() || node.strain.behind() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
--- a/crates/path/src/life.rs
+++ b/crates/path/src/life.rs
@@ -27,7 +27,7 @@
 /// Whether the router ends too soon for a new request.
 #[must_use]
 pub fn ending(node: &Node, streams: bool) -> bool {
-    let Some(since) = node.leaving() else {
+    let Some(since) = node.leaving_since() else {
         return false;
     };
     let refuse = if streams {
@@ -43,7 +43,7 @@
     let mut leaving = node.watch_leaving();
     // The sender lives as long as the node.
     drop(leaving.wait_for(Option::is_some).await);
-    let since = node.leaving().unwrap_or_default();
+    let since = node.leaving_since().unwrap_or_default();
     node.sleep_until(since + NOTICE).await;
 }
 
@@ -67,7 +67,7 @@
     }
     drop(node.journal.line("stopping").with("open", node.open.get()));
     node.leave();
-    let since = node.leaving().unwrap_or_default();
+    let since = node.leaving_since().unwrap_or_default();
     let last = since + node.settings.grace.saturating_sub(MARGIN);
     node.sleep_until(since + NOTICE).await;
     while node.now() < last && node.open.get() > 0 {
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -188,7 +188,7 @@
 
     /// When this router began to shut down.
     #[must_use]
-    pub fn leaving(&self) -> Option<Duration> {
+    pub fn leaving_since(&self) -> Option<Duration> {
         *self.leaving.borrow()
     }
 
@@ -214,7 +214,7 @@
         let known = known && (state.quarantine_known || self.now() >= QUARANTINE_TIMEOUT);
         let known =
             known && (state.compared || self.has_no_peers() || self.now() >= COMPARISON_TIMEOUT);
-        let sound = self.leaving().is_none() && !self.strain.behind();
+        let sound = self.leaving_since().is_none() && !self.strain.behind();
         drop(state);
         known && sound && self.views_confirmed()
     }
