--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -55,7 +55,7 @@
 
 /// A list of all targets.
 #[derive(Clone, Debug)]
-pub struct List {
+pub struct TargetList {
     /// The targets.
     pub targets: Vec<Target>,
     /// Identities whose entries can't be decoded.
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -36,7 +36,7 @@
 use dunlinward_dispatch::target::{Tag, Target};
 use dunlinward_dispatch::usage::{Peer, Usage};
 
-use crate::node::{List, Told};
+use crate::node::{TargetList, Told};
 use crate::queue::Waiter;
 use crate::settings::Settings;
 
@@ -288,7 +288,7 @@
     }
 
     /// Takes a list of targets.
-    pub(crate) fn take_list(&mut self, list: List) -> Vec<Change> {
+    pub(crate) fn take_list(&mut self, list: TargetList) -> Vec<Change> {
         let listing = Listing {
             targets: list.targets,
             unreadable: list.unreadable,
--- a/crates/path/src/state/tests/spared.rs
+++ b/crates/path/src/state/tests/spared.rs
@@ -24,7 +24,7 @@
     for target in targets.iter_mut().take(cold) {
         target.cold_left = time;
     }
-    let list = List {
+    let list = TargetList {
         targets,
         unreadable: Vec::new(),
         as_of: START,
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -8,7 +8,7 @@
 
 use crate::cut;
 use crate::gossip;
-use crate::node::{List, Node, STORE, Told};
+use crate::node::{Node, STORE, TargetList, Told};
 
 /// Source of a list that a peer has read.
 const PEER: &str = "peer";
@@ -18,7 +18,7 @@
 
 impl Node {
     /// Takes a list of targets.
-    pub fn take_targets(&self, list: List, source: &str) {
+    pub fn take_targets(&self, list: TargetList, source: &str) {
         let as_of = list.as_of;
         let (first, changes) = {
             let mut state = self.state.borrow_mut();
@@ -59,7 +59,7 @@
         let as_of = told.as_of;
         let first = self.targets_at().is_none();
         if first {
-            let list = List {
+            let list = TargetList {
                 targets: told.delta.written,
                 unreadable: Vec::new(),
                 as_of,
