--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -72,7 +72,7 @@
 
 /// The difference between a peer's list of targets and this router's.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct PeerDelta {
     /// The entries that differ.
     pub delta: Delta,
     /// Whether targets that the peer's list lacks have certainly ended: it saw no outage.
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -36,7 +36,7 @@
 use dunlinward_dispatch::target::{Tag, Target};
 use dunlinward_dispatch::usage::{Peer, Usage};
 
-use crate::node::{TargetList, Told};
+use crate::node::{PeerDelta, TargetList};
 use crate::queue::Waiter;
 use crate::settings::Settings;
 
@@ -327,7 +327,7 @@
     }
 
     /// Takes what a peer's list has that the known one has not, if it is not older.
-    pub(crate) fn take_told(&mut self, told: Told) -> Vec<Change> {
+    pub(crate) fn take_told(&mut self, told: PeerDelta) -> Vec<Change> {
         let as_of = told.as_of;
         if self.registry.read_at().is_none_or(|at| as_of < at) {
             return Vec::new();
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -8,7 +8,7 @@
 
 use crate::cut;
 use crate::gossip;
-use crate::node::{Node, STORE, TargetList, Told};
+use crate::node::{Node, PeerDelta, STORE, TargetList};
 
 /// Source of a list that a peer has read.
 const PEER: &str = "peer";
@@ -55,7 +55,7 @@
     }
 
     /// Takes what a peer's list has that this router's has not.
-    pub(crate) fn take_targets_told(&self, told: Told) {
+    pub(crate) fn take_targets_told(&self, told: PeerDelta) {
         let as_of = told.as_of;
         let first = self.targets_at().is_none();
         if first {
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -20,7 +20,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::node::{Node, Told};
+use crate::node::{Node, PeerDelta};
 
 /// Largest view in bytes.
 const LARGEST: u64 = 32 * 1024 * 1024;
@@ -207,7 +207,7 @@
             node.metrics.add("views_not_merged", "targets", 1);
             return;
         };
-        let told = Told {
+        let told = PeerDelta {
             delta,
             settled: targets.settled,
             reading: targets.read,
