--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -22,7 +22,7 @@
 use crate::leaving;
 use crate::node::Node;
 use crate::pool::{self, Connection};
-use crate::tell;
+use crate::request_log;
 
 /// Part of its objective for which a request waits for a connection.
 const CONNECT_PART: f64 = 0.5;
@@ -305,7 +305,7 @@
 /// Whether an answer belongs to the request and comes from the target.
 fn check(node: &Rc<Node>, job: &Job, lease: &Lease, head: &response::Parts) -> Result<(), Failure> {
     let answer = node.dialect.answer(head);
-    tell::target_notice(node, job, lease, head.status, &answer);
+    request_log::target_notice(node, job, lease, head.status, &answer);
     if head.status == StatusCode::MISDIRECTED_REQUEST {
         node.replaced(&lease.target);
         lease.record_not_run();
--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -32,8 +32,8 @@
 use crate::node::Node;
 use crate::relay::Relay;
 use crate::reply::{Content, Reason, Refusal};
+use crate::request_log;
 use crate::state::{Claim, State, Wish};
-use crate::tell;
 
 /// Sends of one request beyond its route's attempts, where it has not run.
 const EXTRA_SENDS: u32 = 2;
@@ -87,7 +87,7 @@
     })?;
     let id = call.id.clone();
     let refused = |refusal: Refusal| {
-        tell::refusal(node, &id, arrived, refusal, None);
+        request_log::refusal(node, &id, arrived, refusal, None);
         refusal
     };
     let admitted = admission::admit(node, &head, &call).map_err(refused)?;
@@ -99,10 +99,10 @@
     let body = read(node, &admitted.table, body).await.map_err(refused)?;
     let job = Rc::new(admission::job(node, head, body, call, admitted, arrived));
     if let Some(refusal) = unsafe_to_send(node, &job) {
-        tell::refusal(node, &job.id, arrived, refusal, Some(&job));
+        request_log::refusal(node, &job.id, arrived, refusal, Some(&job));
         return Err(refusal);
     }
-    let mut departure = tell::Disconnect {
+    let mut departure = request_log::Disconnect {
         node: node.clone(),
         job: job.clone(),
         answered: false,
@@ -110,7 +110,7 @@
     let answer = run(node, &job).await;
     departure.answered = true;
     if let Err(refusal) = &answer {
-        tell::refusal(node, &job.id, arrived, *refusal, Some(&job));
+        request_log::refusal(node, &job.id, arrived, *refusal, Some(&job));
     }
     answer
 }
@@ -254,7 +254,7 @@
             None => with_return(node, job, refusal),
         })?;
         let target = lease.target.clone();
-        tell::sent(node, job, &lease, sends);
+        request_log::sent(node, job, &lease, sends);
         let limit = answer_limit(node, job, sends);
         sends += 1;
         let outcome = attempt::send(node, job, lease, job.resume_after, limit).await;
@@ -269,7 +269,7 @@
         if failure.verdict == Verdict::NotSent {
             sends -= 1;
         }
-        tell::failure(node, job, &target.id, failure);
+        request_log::failure(node, job, &target.id, failure);
         exclude = Some(target.tag());
         if matches!(failure.verdict, Verdict::Unknown | Verdict::Repeat) {
             may_have_run = Some(failure);
--- a/crates/path/src/lib.rs
+++ b/crates/path/src/lib.rs
@@ -7,7 +7,7 @@
 //! - [`node`]: a router; [`settings`], [`state`], [`queue`], [`lease`]: what it is told,
 //!   what it knows, requests that wait, places at targets.
 //! - [`server`]: callers' connections.
-//! - [`exchange`]: one request from its head to its answer; [`tell`]: its log lines.
+//! - [`exchange`]: one request from its head to its answer; [`request_log`]: its log lines.
 //! - [`admission`]: a request against the configuration in force.
 //! - [`pool`], [`attempt`]: connections to targets, one attempt at a target.
 //! - [`event`], [`relay`]: streams of events, and how one goes on elsewhere.
@@ -53,11 +53,11 @@
 pub mod queue;
 pub mod relay;
 pub mod reply;
+pub mod request_log;
 pub mod server;
 pub mod settings;
 pub mod state;
 pub mod strain;
 pub mod targets;
-pub mod tell;
 pub mod view;
 pub mod wake;
