--- a/crates/path/src/lib.rs
+++ b/crates/path/src/lib.rs
@@ -20,7 +20,7 @@
 //! - [`courier`], [`inbox`]: messages between routers.
 //! - [`strain`]: whether the router keeps up.
 //! - [`targets`]: the list of targets, and what a change of it ends.
-//! - [`clock`], [`wake`]: time, with that of suspensions; what is done after one.
+//! - [`clock`], [`suspension`]: time, with that of suspensions; what is done after one.
 //! - [`life`]: signals, drain and end.
 //! - [`flags`]: the figures that operators may set.
 //! - [`journal`], [`metrics`]: what operators see.
@@ -58,6 +58,6 @@
 pub mod settings;
 pub mod state;
 pub mod strain;
+pub mod suspension;
 pub mod targets;
 pub mod view;
-pub mod wake;
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -34,8 +34,8 @@
 use crate::settings::Settings;
 use crate::state::State;
 use crate::strain::Strain;
+use crate::suspension::Wake;
 use crate::view::Fetching;
-use crate::wake::Wake;
 
 /// Time after its start up to which a router waits for the quarantine before it is ready: peers
 /// send it after their first heartbeat, and the store within its answer.
