--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -27,12 +27,12 @@
 use crate::admission;
 use crate::attempt::{self, Attempt, Failure, Job, Verdict};
 use crate::cut::Break;
-use crate::lending;
 use crate::life;
 use crate::node::Node;
 use crate::relay::Relay;
 use crate::reply::{Content, Reason, Refusal};
 use crate::request_log;
+use crate::spillover;
 use crate::state::{Claim, State, Wish};
 
 /// Sends of one request beyond its route's attempts, where it has not run.
@@ -248,7 +248,7 @@
     let mut may_have_run: Option<Failure> = None;
     loop {
         tries += 1;
-        let lease = lending::place(node, job, exclude).await;
+        let lease = spillover::place(node, job, exclude).await;
         let lease = lease.map_err(|refusal| match may_have_run {
             Some(failure) => final_refusal(node, job, failure),
             None => with_return(node, job, refusal),
