--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -34,7 +34,7 @@
 use crate::settings::Settings;
 use crate::state::State;
 use crate::strain::Strain;
-use crate::suspension::Wake;
+use crate::suspension::Monitor;
 use crate::view::Fetching;
 
 /// Time after its start up to which a router waits for the quarantine before it is ready: peers
@@ -109,7 +109,7 @@
     /// Quarantine entries that are to be written to the store.
     pub(crate) unwritten: Unwritten,
     pub(crate) clock: Clock,
-    pub(crate) wake: Wake,
+    pub(crate) wake: Monitor,
     pub(crate) capacity: Notify,
     draws: Cell<u64>,
     /// Open connections of callers.
@@ -145,7 +145,7 @@
             state: RefCell::new(state),
             unwritten: Unwritten::default(),
             clock,
-            wake: Wake::default(),
+            wake: Monitor::default(),
             capacity: Notify::new(),
             draws: Cell::new(rand::random()),
             open: Cell::new(0),
--- a/crates/path/src/suspension.rs
+++ b/crates/path/src/suspension.rs
@@ -23,7 +23,7 @@
 
 /// Suspensions that were detected.
 #[derive(Debug)]
-pub struct Wake {
+pub struct Monitor {
     /// Total suspended time that has been detected.
     detected: Cell<Duration>,
     /// End of the last suspension, until the views are confirmed.
@@ -33,7 +33,7 @@
     count: watch::Sender<u64>,
 }
 
-impl Default for Wake {
+impl Default for Monitor {
     fn default() -> Self {
         Self {
             detected: Cell::default(),
@@ -44,7 +44,7 @@
     }
 }
 
-impl Wake {
+impl Monitor {
     /// Suspended time since the last call, in which no answers could be received.
     pub(crate) fn take_suspended(&self) -> Duration {
         self.late.take()
