--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -56,7 +56,7 @@
         let late = timer.tick().await.elapsed();
         node.note_lateness(late);
         node.detect_suspension();
-        let late = late + node.wake.take_suspended();
+        let late = late + node.suspensions.take_suspended();
         let now = node.now();
         let effects = node.state.borrow_mut().membership.tick(now, late);
         carry_out(&node, effects);
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -109,7 +109,7 @@
     /// Quarantine entries that are to be written to the store.
     pub(crate) unwritten: Unwritten,
     pub(crate) clock: Clock,
-    pub(crate) wake: Monitor,
+    pub(crate) suspensions: Monitor,
     pub(crate) capacity: Notify,
     draws: Cell<u64>,
     /// Open connections of callers.
@@ -145,7 +145,7 @@
             state: RefCell::new(state),
             unwritten: Unwritten::default(),
             clock,
-            wake: Monitor::default(),
+            suspensions: Monitor::default(),
             capacity: Notify::new(),
             draws: Cell::new(rand::random()),
             open: Cell::new(0),
--- a/crates/path/src/suspension.rs
+++ b/crates/path/src/suspension.rs
@@ -55,24 +55,26 @@
     /// Detects a suspension since the last call.
     pub(crate) fn detect_suspension(&self) {
         let suspended = self.clock.suspended();
-        let time = suspended.saturating_sub(self.wake.detected.get());
+        let time = suspended.saturating_sub(self.suspensions.detected.get());
         if time < MIN_SUSPENSION {
             return;
         }
-        self.wake.detected.set(suspended);
-        self.wake.at.set(Some(self.now()));
-        self.wake.late.set(self.wake.late.get() + time);
+        self.suspensions.detected.set(suspended);
+        self.suspensions.at.set(Some(self.now()));
+        self.suspensions
+            .late
+            .set(self.suspensions.late.get() + time);
         self.metrics.add("suspensions", "woken", 1);
         let line = self.journal.line("woken").with_ms("suspended_ms", time);
         drop(line.with("open", self.open.get()));
         self.pool.close_all();
-        self.wake.count.send_modify(|count| *count += 1);
+        self.suspensions.count.send_modify(|count| *count += 1);
         self.notify_capacity();
     }
 
     /// Whether the views have been confirmed since the last suspension, or can't be.
     pub(crate) fn views_confirmed(&self) -> bool {
-        let Some(woken) = self.wake.at.get() else {
+        let Some(woken) = self.suspensions.at.get() else {
             return true;
         };
         let state = self.state.borrow();
@@ -80,7 +82,7 @@
         let confirmed = since(state.configuration_reads.at()) && since(state.registry.read_at());
         let expired = self.now() >= woken + CONFIRMATION_TIMEOUT;
         if confirmed || expired {
-            self.wake.at.set(None);
+            self.suspensions.at.set(None);
         }
         confirmed || expired
     }
@@ -93,7 +95,7 @@
         future: impl Future<Output = T>,
     ) -> Option<T> {
         let mut future = std::pin::pin!(future);
-        let mut woken = self.wake.count.subscribe();
+        let mut woken = self.suspensions.count.subscribe();
         while self.now() < moment {
             tokio::select! {
                 biased;
@@ -120,7 +122,7 @@
 
     /// Waits for a time, or until the router resumes from a suspension.
     pub async fn pause(&self, time: Duration) {
-        let mut woken = self.wake.count.subscribe();
+        let mut woken = self.suspensions.count.subscribe();
         tokio::select! {
             () = tokio::time::sleep(time) => {}
             // Its sender lives as long as the router.
