--- a/crates/path/src/suspension.rs
+++ b/crates/path/src/suspension.rs
@@ -27,19 +27,19 @@
     /// Total suspended time that has been detected.
     detected: Cell<Duration>,
     /// End of the last suspension, until the views are confirmed.
-    at: Cell<Option<Duration>>,
+    resumed_at: Cell<Option<Duration>>,
     /// Suspended time that the next probe has to leave out.
-    late: Cell<Duration>,
-    count: watch::Sender<u64>,
+    unprobed: Cell<Duration>,
+    resumptions: watch::Sender<u64>,
 }
 
 impl Default for Monitor {
     fn default() -> Self {
         Self {
             detected: Cell::default(),
-            at: Cell::default(),
-            late: Cell::default(),
-            count: watch::Sender::new(0),
+            resumed_at: Cell::default(),
+            unprobed: Cell::default(),
+            resumptions: watch::Sender::new(0),
         }
     }
 }
@@ -47,7 +47,7 @@
 impl Monitor {
     /// Suspended time since the last call, in which no answers could be received.
     pub(crate) fn take_suspended(&self) -> Duration {
-        self.late.take()
+        self.unprobed.take()
     }
 }
 
@@ -60,29 +60,31 @@
             return;
         }
         self.suspensions.detected.set(suspended);
-        self.suspensions.at.set(Some(self.now()));
+        self.suspensions.resumed_at.set(Some(self.now()));
         self.suspensions
-            .late
-            .set(self.suspensions.late.get() + time);
+            .unprobed
+            .set(self.suspensions.unprobed.get() + time);
         self.metrics.add("suspensions", "woken", 1);
         let line = self.journal.line("woken").with_ms("suspended_ms", time);
         drop(line.with("open", self.open.get()));
         self.pool.close_all();
-        self.suspensions.count.send_modify(|count| *count += 1);
+        self.suspensions
+            .resumptions
+            .send_modify(|count| *count += 1);
         self.notify_capacity();
     }
 
     /// Whether the views have been confirmed since the last suspension, or can't be.
     pub(crate) fn views_confirmed(&self) -> bool {
-        let Some(woken) = self.suspensions.at.get() else {
+        let Some(resumed) = self.suspensions.resumed_at.get() else {
             return true;
         };
         let state = self.state.borrow();
-        let since = |at: Option<Duration>| at.is_some_and(|at| at >= woken);
+        let since = |at: Option<Duration>| at.is_some_and(|at| at >= resumed);
         let confirmed = since(state.configuration_reads.at()) && since(state.registry.read_at());
-        let expired = self.now() >= woken + CONFIRMATION_TIMEOUT;
+        let expired = self.now() >= resumed + CONFIRMATION_TIMEOUT;
         if confirmed || expired {
-            self.suspensions.at.set(None);
+            self.suspensions.resumed_at.set(None);
         }
         confirmed || expired
     }
@@ -95,14 +97,14 @@
         future: impl Future<Output = T>,
     ) -> Option<T> {
         let mut future = std::pin::pin!(future);
-        let mut woken = self.suspensions.count.subscribe();
+        let mut resumed = self.suspensions.resumptions.subscribe();
         while self.now() < moment {
             tokio::select! {
                 biased;
                 value = &mut future => return Some(value),
                 () = tokio::time::sleep_until(self.instant(moment)) => {}
                 // Its sender lives as long as the router.
-                _ = woken.changed() => {}
+                _ = resumed.changed() => {}
             }
         }
         tokio::task::yield_now().await;
@@ -122,11 +124,11 @@
 
     /// Waits for a time, or until the router resumes from a suspension.
     pub async fn pause(&self, time: Duration) {
-        let mut woken = self.suspensions.count.subscribe();
+        let mut resumed = self.suspensions.resumptions.subscribe();
         tokio::select! {
             () = tokio::time::sleep(time) => {}
             // Its sender lives as long as the router.
-            _ = woken.changed() => {}
+            _ = resumed.changed() => {}
         }
     }
 }
