--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -286,11 +286,11 @@
             return answer;
         }
         // On a late router, timers fire before the messages that came in time have been read.
-        // `timeout_at` has yielded to the event loop once after the deadline, so they are available, but
-        // the task that reads all messages may run only after this one, so they are read here. With
-        // this, customers of a late router got 0.84 to 0.94 of the best served customer within six
-        // seconds, without it 0.63 to 0.91. Places granted too late fell from 12 to 25 M tokens to
-        // 3 to 4 M (24 s of a flood, 85 routers).
+        // `timeout_at` has yielded to the event loop once after the deadline, so they are
+        // available, but the task that reads all messages may run only after this one, so they are
+        // read here. With this, customers of a late router got 0.84 to 0.94 of the best served
+        // customer within six seconds, without it 0.63 to 0.91. Places granted too late fell from
+        // 12 to 25 M tokens to 3 to 4 M (24 s of a flood, 85 routers).
         inbox::read(self.node);
         self.answers.try_recv().ok()
     }
