--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -22,7 +22,7 @@
 use crate::leaving;
 use crate::node::Node;
 use crate::pool::{self, Connection};
-use crate::tell;
+use crate::request_log;
 
 /// Connect timeout as a fraction of the route's objective.
 const CONNECT_TIMEOUT_FACTOR: f64 = 0.5;
@@ -144,7 +144,7 @@
     limit: Duration,
 ) -> Result<Attempt, Failure> {
     let target = lease.target.clone();
-    if node.doubtful(&target) {
+    if node.may_be_partitioned(&target) {
         node.pool.close(target.tag());
     }
     let connection = match node.pool.take(target.tag(), node.now()) {
@@ -186,7 +186,7 @@
         interruption::record_connection(node, &lease.target);
     }
     opened.map_err(|error| {
-        lease.note(Outcome::Unreachable);
+        lease.record_outcome(Outcome::Unreachable);
         interruption::record_connect_error(node, &lease.target, &error);
         let line = node
             .journal
@@ -208,28 +208,27 @@
 ) -> Result<(Response<Incoming>, Connection), Failure> {
     let request = request(node, job, lease, resume_after);
     let sent_at = node.now();
-    lease.sent(job.content);
+    lease.record_sent(job.content);
     let sent = connection.sender.try_send_request(request);
     let sent = await_answer(node, job, lease, sent, limit).await;
     let Some(sent) = sent else {
         close_idle_if_reused(node, lease, &connection);
-        lease.note(Outcome::Bad);
-        lease.cut(Cause::Silent);
+        lease.record_outcome(Outcome::Bad);
+        lease.record_interruption(Cause::Silent);
         return Err(Failure::new(Verdict::Unknown, "no_answer"));
     };
     match sent {
         Ok(response) => Ok((response, connection)),
         Err(mut error) => {
             if error.take_message().is_some() {
-                lease.not_run();
+                lease.record_not_run();
                 return Err(Failure::new(Verdict::NotSent, "connection_closed"));
             }
-            close_idle_if_reused(node, lease, &connection);
-            // That a target closed an idle connection at this moment says nothing about its health.
+            close_idle_if_reused(node, lease, &connection); // That a target closed an idle connection at this moment says nothing about its health.
             if !connection.used || node.now() > sent_at + IDLE_CLOSE_WINDOW {
-                lease.note(Outcome::Bad);
+                lease.record_outcome(Outcome::Bad);
             }
-            lease.cut(Cause::Closed);
+            lease.record_interruption(Cause::Closed);
             Err(Failure::new(Verdict::Unknown, "broken_off"))
         }
     }
@@ -255,11 +254,11 @@
     let mut answer = std::pin::pin!(answer);
     let silence = job.route.objective.mul_f64(SILENCE_FACTOR).max(MIN_SILENCE);
     let early = limit.min(node.now() + silence);
-    if let Some(answer) = node.until(early, answer.as_mut()).await {
+    if let Some(answer) = node.timeout_at(early, answer.as_mut()).await {
         return Some(answer);
     }
     if early < limit {
-        lease.note(Outcome::Bad);
+        lease.record_outcome(Outcome::Bad);
         let line = node
             .journal
             .line("target_silent")
@@ -267,7 +266,7 @@
         let line = line.with("target", lease.target.id.as_ref());
         drop(line.with_ms("after_ms", silence));
     }
-    node.until(limit, answer).await
+    node.timeout_at(limit, answer).await
 }
 
 fn request(
@@ -305,7 +304,7 @@
         StatusCode::TOO_MANY_REQUESTS,
     ];
     if refusals.contains(&status) && (answer.not_run || backoff.is_some()) {
-        lease.refused(Refusal { backoff });
+        lease.record_refusal(Refusal { backoff });
     }
 }
 
@@ -317,10 +316,10 @@
     head: &response::Parts,
 ) -> Result<(), Failure> {
     let answer = node.dialect.answer(head);
-    tell::said(node, job, lease, head.status, &answer);
+    request_log::target_notice(node, job, lease, head.status, &answer);
     if head.status == StatusCode::MISDIRECTED_REQUEST {
         node.remove_replaced_target(&lease.target);
-        lease.not_run();
+        lease.record_not_run();
         return Err(Failure::new(Verdict::NotRun, "misdirected"));
     }
     if answer.id.as_ref().is_some_and(|it| *it != job.id) {
@@ -328,11 +327,11 @@
     }
     record_announcements(node, lease, head.status, &answer);
     if answer.not_run {
-        lease.not_run();
+        lease.record_not_run();
         return Err(Failure::new(Verdict::NotRun, "turned_away"));
     }
     if !answer.genuine || answer.id.is_none() {
-        lease.note(Outcome::Bad);
+        lease.record_outcome(Outcome::Bad);
         return Err(Failure::new(Verdict::Unknown, "not_genuine"));
     }
     Ok(())
--- a/crates/path/src/evacuation.rs
+++ b/crates/path/src/evacuation.rs
@@ -82,7 +82,7 @@
         }
         if !changes.is_empty() {
             gossip::push_views(self);
-            self.room_came();
+            self.notify_capacity();
         }
     }
 }
--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -27,13 +27,13 @@
 use crate::admission;
 use crate::attempt::{self, Attempt, Failure, Job, Verdict};
 use crate::interruption::Cause;
-use crate::lending;
 use crate::node::Node;
 use crate::relay::Relay;
 use crate::reply::{Payload, Reason, Refusal};
+use crate::request_log;
 use crate::shutdown;
+use crate::spillover;
 use crate::state::{Claim, State, Wish};
-use crate::tell;
 
 /// Tries of one request beyond the attempts of its route after which it is not tried once more,
 /// even if it has not run.
@@ -64,14 +64,14 @@
 
 /// Handles one request and returns the response to its caller.
 pub async fn serve(node: Rc<Node>, request: Request<Incoming>) -> Response<Payload> {
-    node.look_for_wake();
+    node.detect_suspension();
     let arrived = node.now();
     let (head, body) = request.into_parts();
     let mut response = match handle(&node, head, body, arrived).await {
         Ok(response) => response,
         Err(refusal) => refusal.response(),
     };
-    if node.leaving().is_some() || node.overload.is_overloaded() {
+    if node.leaving_since().is_some() || node.overload.is_overloaded() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
@@ -91,7 +91,7 @@
     })?;
     let id = call.id.clone();
     let refused = |refusal: Refusal| {
-        tell::refusal(node, &id, arrived, refusal, None);
+        request_log::refusal(node, &id, arrived, refusal, None);
         refusal
     };
     let admitted = admission::admit(node, &head, &call).map_err(refused)?;
@@ -105,10 +105,10 @@
         .map_err(refused)?;
     let job = Rc::new(admission::job(node, head, body, call, admitted, arrived));
     if let Some(refusal) = quarantine_refusal(node, &job) {
-        tell::refusal(node, &job.id, arrived, refusal, Some(&job));
+        request_log::refusal(node, &job.id, arrived, refusal, Some(&job));
         return Err(refusal);
     }
-    let mut caller_guard = tell::Departure {
+    let mut caller_guard = request_log::Disconnect {
         node: node.clone(),
         job: job.clone(),
         answered: false,
@@ -116,7 +116,7 @@
     let answer = run(node, &job).await;
     caller_guard.answered = true;
     if let Err(refusal) = &answer {
-        tell::refusal(node, &job.id, arrived, *refusal, Some(&job));
+        request_log::refusal(node, &job.id, arrived, *refusal, Some(&job));
     }
     answer
 }
@@ -136,7 +136,10 @@
 async fn read_body(node: &Rc<Node>, table: &Rc<Table>, body: Incoming) -> Result<Bytes, Refusal> {
     let limits = table.limits();
     let reading = Limited::new(body, limits.body_bytes).collect();
-    match node.until(node.now() + limits.idle_timeout, reading).await {
+    match node
+        .timeout_at(node.now() + limits.idle_timeout, reading)
+        .await
+    {
         None => Err(Refusal::new(Reason::BodyTimeout)),
         Some(Ok(body)) => Ok(body.to_bytes()),
         Some(Err(error)) if error.is::<LengthLimitError>() => {
@@ -195,7 +198,7 @@
 
 impl<'a> Draft<'a> {
     fn new(node: &'a Node, job: &'a Job) -> Self {
-        let draw = node.draw();
+        let draw = node.random();
         let state = node.state.borrow();
         let recorded = state.quarantine.status(job.content, node.now()) != Status::Free;
         let relevant = recorded || !state.answered.contains(job.content);
@@ -260,13 +263,13 @@
     let mut may_have_run: Option<Failure> = None;
     loop {
         tries += 1;
-        let lease = lending::place(node, job, exclude).await;
+        let lease = spillover::place(node, job, exclude).await;
         let lease = lease.map_err(|refusal| match may_have_run {
             Some(failure) => final_refusal(node, job, failure),
             None => with_default_retry_after(node, job, refusal),
         })?;
         let target = lease.target.clone();
-        tell::sent(node, job, &lease, sends);
+        request_log::sent(node, job, &lease, sends);
         let limit = answer_limit(node, job, sends);
         sends += 1;
         let outcome = attempt::send(node, job, lease, job.resume_after, limit).await;
@@ -281,7 +284,7 @@
         if failure.verdict == Verdict::NotSent {
             sends -= 1;
         }
-        tell::failure(node, job, &target.id, failure);
+        request_log::failure(node, job, &target.id, failure);
         exclude = Some(target.tag());
         if matches!(failure.verdict, Verdict::Unknown | Verdict::Repeat) {
             may_have_run = Some(failure);
@@ -323,10 +326,10 @@
     }
     match failure.verdict {
         Verdict::NotSent | Verdict::Repeat => true,
-        Verdict::NotRun => node.may_repeat(&job.service),
+        Verdict::NotRun => node.try_take_retry(&job.service),
         Verdict::Unknown => {
             let repeatable = matches!(job.route.kind, Kind::Idempotent | Kind::Resumable);
-            repeatable && sends < attempts && node.may_repeat(&job.service)
+            repeatable && sends < attempts && node.try_take_retry(&job.service)
         }
     }
 }
@@ -361,8 +364,8 @@
 ) -> Result<Response<Payload>, Failure> {
     if attempt.head.status.is_server_error() {
         let repeatable = job.route.kind == Kind::Idempotent && sends < job.route.attempts;
-        if repeatable && node.may_repeat(&job.service) {
-            attempt.lease.survived();
+        if repeatable && node.try_take_retry(&job.service) {
+            attempt.lease.record_alive();
             return Err(Failure {
                 verdict: Verdict::Repeat,
                 reason: "target_error",
@@ -390,12 +393,12 @@
 ) -> Result<Response<Payload>, Failure> {
     let limit = answer_limit(node, job, sends.saturating_sub(1));
     let reading = Limited::new(&mut attempt.body, MAX_ANSWER_BYTES).collect();
-    let read = node.until(limit, reading).await;
+    let read = node.timeout_at(limit, reading).await;
     let body = match read {
         Some(Ok(body)) => body.to_bytes(),
         broken => {
-            attempt.lease.note(Outcome::Bad);
-            attempt.lease.cut(match broken {
+            attempt.lease.record_outcome(Outcome::Bad);
+            attempt.lease.record_interruption(match broken {
                 Some(_) => Cause::Closed,
                 None => Cause::Silent,
             });
@@ -410,8 +413,8 @@
     } else {
         Outcome::Good
     };
-    attempt.lease.note(outcome);
-    attempt.lease.survived();
+    attempt.lease.record_outcome(outcome);
+    attempt.lease.record_alive();
     let head = response_head(&attempt.head, false);
     let line = node.journal.line("answered").with("id", job.id.as_ref());
     let line = line
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -55,8 +55,8 @@
     loop {
         let late = timer.tick().await.elapsed();
         node.record_lateness(late);
-        node.look_for_wake();
-        let late = late + node.wake.take_late();
+        node.detect_suspension();
+        let late = late + node.suspensions.take_suspended();
         let now = node.now();
         let effects = node.state.borrow_mut().membership.tick(now, late);
         apply(&node, effects);
--- a/crates/path/src/inbound.rs
+++ b/crates/path/src/inbound.rs
@@ -27,7 +27,7 @@
     node.outbound.open(socket.clone());
     tokio::join!(
         gossip::run(node.clone()),
-        owner::report_work(node.clone()),
+        owner::report_load(node.clone()),
         receive(node, socket),
     );
 }
@@ -47,7 +47,7 @@
     let Some(socket) = node.outbound.socket() else {
         return;
     };
-    node.look_for_wake();
+    node.detect_suspension();
     let mut buffer = node.inbound.0.borrow_mut();
     for _ in 0..BATCH_SIZE {
         match socket.try_recv_from(&mut buffer) {
@@ -93,13 +93,13 @@
     let sender = message.sender;
     match message.content {
         Content::Heartbeat(heartbeat) => gossip::receive(node, heartbeat),
-        Content::Request(ask) => owner::ask(node, sender, from, ask),
-        Content::Grant(grant) => node.answer(from, grant.number, Answer::Grant(grant)),
-        Content::Wait(wait) => node.answer(from, wait.number, Answer::Wait(wait)),
+        Content::Request(ask) => owner::request(node, sender, from, ask),
+        Content::Grant(grant) => node.handle_answer(from, grant.number, Answer::Grant(grant)),
+        Content::Wait(wait) => node.handle_answer(from, wait.number, Answer::Wait(wait)),
         Content::Withdraw(number) => owner::withdraw(node, sender, number),
         Content::Read { tag, unread } => owner::read(node, sender, tag, unread),
         Content::Return(returned) => owner::returned(node, sender, returned),
-        Content::LoadReport(work) => owner::work(node, sender, &work),
+        Content::LoadReport(work) => owner::load_report(node, sender, &work),
         Content::Findings(findings) => quarantine::receive_findings(node, &findings),
         Content::Leaving(report) => leaving::receive(node, report.notices()),
     }
--- a/crates/path/src/interruption.rs
+++ b/crates/path/src/interruption.rs
@@ -75,7 +75,7 @@
                 .put(target.tag(), connection, pool::DEFAULT_KEEP_ALIVE, now);
         }
         Err(error) => {
-            node.note(&target, Outcome::Unreachable);
+            node.record_outcome(&target, Outcome::Unreachable);
             record_connect_error(&node, &target, &error);
         }
     }
--- a/crates/path/src/leaving.rs
+++ b/crates/path/src/leaving.rs
@@ -91,6 +91,6 @@
         }
     }
     if !changes.is_empty() {
-        node.room_came();
+        node.notify_capacity();
     }
 }
--- a/crates/path/src/lib.rs
+++ b/crates/path/src/lib.rs
@@ -7,7 +7,7 @@
 //! - [`node`]: a router; [`settings`], [`state`], [`queue`], [`lease`]: its settings, its state,
 //!   the requests that wait, and places at targets.
 //! - [`server`]: clients' connections.
-//! - [`exchange`], [`reply`]: processing of one request, up to its answer; [`tell`]: its log lines.
+//! - [`exchange`], [`reply`]: processing of one request, up to its answer; [`request_log`]: its log lines.
 //! - [`admission`]: checks of a request against the configuration in force.
 //! - [`pool`], [`attempt`]: connections to targets, and one attempt at a target.
 //! - [`event`], [`relay`]: event streams, and their resumption at another target.
@@ -22,7 +22,7 @@
 //! - [`outbound`], [`inbound`]: messages between routers.
 //! - [`overload`]: detection of overload.
 //! - [`targets`]: the list of targets, and the effects of its changes.
-//! - [`clock`], [`wake`]: time including suspensions, and what follows a suspension.
+//! - [`clock`], [`suspension`]: time including suspensions, and what follows a suspension.
 //! - [`shutdown`]: signal handling and graceful shutdown.
 //! - [`flags`]: command-line flags.
 //! - [`journal`], [`metrics`]: logs and metrics.
@@ -42,7 +42,6 @@
 pub mod journal;
 pub mod lease;
 mod leaving;
-mod lending;
 pub mod metrics;
 pub mod node;
 pub mod outbound;
@@ -55,11 +54,12 @@
 pub mod queue;
 pub mod relay;
 pub mod reply;
+pub mod request_log;
 pub mod server;
 pub mod settings;
 pub mod shutdown;
+mod spillover;
 pub mod state;
+pub mod suspension;
 pub mod targets;
-pub mod tell;
 pub mod view;
-pub mod wake;
--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -1,10 +1,10 @@
 //! The queue of requests that wait at the owner of their cell.
 //!
-//! A request that finds no room waits here, not at a target: what was sent can't
-//! be put in another order or taken back. Whenever room may have come (a request
-//! ended, a prompt was read, a router reported, the views changed) the queue is
-//! gone through in order: customers within their share first, then callers that
-//! were not refused before, as only they can still be answered in time, then by arrival.
+//! A request that finds no capacity waits here and not at a target, because a request that was
+//! sent can't be reordered or taken back. Whenever capacity may have become available (a request
+//! ended, a prompt was read, a router reported, the views changed), the queue is served in this
+//! order: customers within their share first, then callers that were not refused before, as only
+//! they can still be answered in time, then by arrival.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,20 +21,20 @@
 use crate::state::Wish;
 
 /// Shortest time between two passes over the queue.
-const FILL_PAUSE: Duration = Duration::from_millis(3);
+const PASS_INTERVAL: Duration = Duration::from_millis(3);
 
-/// Where a request that waits came from.
+/// Origin of a waiting request.
 #[derive(Debug)]
 pub(crate) enum Origin {
-    /// This router's own callers.
-    Here(oneshot::Sender<Lease>),
+    /// A caller of this router.
+    Local(oneshot::Sender<Lease>),
     /// Another router.
-    Peer(Asker),
+    Peer(Requester),
 }
 
 /// A request of another router.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Asker {
+pub(crate) struct Requester {
     pub(crate) peer: Peer,
     pub(crate) address: SocketAddr,
     /// Number of the request at that router.
@@ -42,32 +42,32 @@
 }
 
 impl Origin {
-    /// Whether it is a certain request of another router.
-    pub(crate) fn is(&self, peer: Peer, number: u64) -> bool {
+    /// Whether it is the request `number` of the router `peer`.
+    pub(crate) fn matches(&self, peer: Peer, number: u64) -> bool {
         matches!(self, Self::Peer(it) if it.peer == peer && it.number == number)
     }
 }
 
-/// A request that waits for room.
+/// A request that waits for capacity.
 pub(crate) struct Waiter {
     pub(crate) wish: Wish,
-    pub(crate) cover: f64,
+    pub(crate) share_ratio: f64,
     pub(crate) origin: Origin,
 }
 
 impl Waiter {
-    /// Whether nobody waits for it any more.
-    pub(crate) fn given_up(&self, now: Duration) -> bool {
+    /// Whether its caller has left or its deadline has passed.
+    pub(crate) fn is_abandoned(&self, now: Duration) -> bool {
         match &self.origin {
-            Origin::Here(reply) => reply.is_closed(),
+            Origin::Local(reply) => reply.is_closed(),
             Origin::Peer(_) => now >= self.wish.until,
         }
     }
 }
 
 impl Node {
-    /// Places a request of this router's callers at once, if this router knows of room.
-    fn place_now(self: &Rc<Self>, wish: &Wish) -> Option<Lease> {
+    /// Places a request of this router's callers at once, if this router knows of capacity.
+    fn try_place(self: &Rc<Self>, wish: &Wish) -> Option<Lease> {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let cover = state.cover(wish, now);
@@ -82,34 +82,34 @@
     }
 
     /// Places a request of this router's callers by what this router knows, now or later.
-    pub(crate) async fn place_here(self: &Rc<Self>, mut wish: Wish) -> Result<Lease, Refusal> {
+    pub(crate) async fn place_locally(self: &Rc<Self>, mut wish: Wish) -> Result<Lease, Refusal> {
         if self.state.borrow().held(&wish, self.now()) {
             return Err(Refusal::new(Reason::Suspected));
         }
         wish.returning |= self.state.borrow().returns(&wish, self.now());
-        if let Some(lease) = self.place_now(&wish) {
+        if let Some(lease) = self.try_place(&wish) {
             return Ok(lease);
         }
         let now = self.now();
         let opening = self.state.borrow().opening_for(&wish, now);
         if let Some(time) = opening.closed_for(&wish, now) {
             self.state.borrow_mut().refuse(&wish, now);
-            return Err(self.backed_off(time));
+            return Err(self.backoff_refusal(time));
         }
         let until = wish.until;
         let customer = wish.customer;
         let (reply, receiver) = oneshot::channel();
         let waiter = Waiter {
             wish,
-            cover: 1.0,
-            origin: Origin::Here(reply),
+            share_ratio: 1.0,
+            origin: Origin::Local(reply),
         };
         self.state.borrow_mut().queue.push(waiter);
-        self.room.notify_one();
-        if let Some(Ok(lease)) = self.until(until, receiver).await {
+        self.capacity.notify_one();
+        if let Some(Ok(lease)) = self.timeout_at(until, receiver).await {
             return Ok(lease);
         }
-        // Its time is over, or the queue has given it up by dropping its sender.
+        // Its deadline has passed, or the queue has dropped its sender.
         let standing = customer.map(|it| self.standing(it));
         let refusal = Refusal::new(place::reason(standing));
         Err(refusal.with_standing(standing))
@@ -117,36 +117,36 @@
 
     /// Serves the queue for as long as the router runs.
     pub async fn serve_queue(self: Rc<Self>) {
-        let mut passed_at = Duration::ZERO;
+        let mut last_pass = Duration::ZERO;
         loop {
-            self.room_may_be(passed_at).await;
-            passed_at = self.now();
-            self.fill();
-            tokio::time::sleep(FILL_PAUSE).await;
+            self.wait_for_capacity(last_pass).await;
+            last_pass = self.now();
+            self.run_pass();
+            tokio::time::sleep(PASS_INTERVAL).await;
         }
     }
 
-    /// Waits until room may have come for what waits: something has changed, or a target that refused
-    /// requests may be asked again. What ended since the last pass counts, also if that is over by now.
-    async fn room_may_be(&self, passed_at: Duration) {
+    /// Waits until capacity may have become available for the queue: something has changed, or the
+    /// backoff of a target has ended. A backoff that ended since the last pass counts too.
+    async fn wait_for_capacity(&self, last_pass: Duration) {
         let end = {
             let state = self.state.borrow();
             let waits = !state.queue.is_empty();
-            let end = state.backoffs.next_expiry(passed_at);
+            let end = state.backoffs.next_expiry(last_pass);
             end.filter(|_| waits)
         };
         match end {
-            // Whichever comes first: the queue is gone through either way.
-            Some(end) => drop(self.until(end, self.room.notified()).await),
-            None => self.room.notified().await,
+            // The queue is served in either case.
+            Some(end) => drop(self.timeout_at(end, self.capacity.notified()).await),
+            None => self.capacity.notified().await,
         }
     }
 
-    fn fill(self: &Rc<Self>) {
+    fn run_pass(self: &Rc<Self>) {
         let now = self.now();
         let pass = self.state.borrow_mut().pass(&self.settings, now);
         for (reply, place) in pass.here {
-            // If the caller has left, the lease comes back and is dropped.
+            // If the caller has left, the lease is returned and dropped.
             drop(reply.send(Lease::new(self, place)));
         }
         for (address, grant) in pass.peers {
--- a/crates/path/src/relay.rs
+++ b/crates/path/src/relay.rs
@@ -185,7 +185,7 @@
         let Some(attempt) = &mut self.attempt else {
             return Chunk::Failed("no_attempt");
         };
-        match self.node.until(limit, attempt.body.frame()).await {
+        match self.node.timeout_at(limit, attempt.body.frame()).await {
             None if limit >= self.job.deadline => Chunk::Failed("expired"),
             None => Chunk::Failed("silent"),
             Some(None) => Chunk::End,
@@ -211,16 +211,16 @@
         let Some(attempt) = &self.attempt else {
             return;
         };
-        attempt.lease.heard();
+        attempt.lease.record_progress();
         if !std::mem::replace(&mut self.answering, true) {
-            attempt.lease.read();
+            attempt.lease.record_prefill_end();
         }
     }
 
     fn finish(&mut self) {
         self.ended = true;
         if let Some(attempt) = self.attempt.take() {
-            attempt.lease.note(Outcome::Good);
+            attempt.lease.record_outcome(Outcome::Good);
             attempt.finish(&self.node);
         }
         self.report("answered", "complete");
@@ -314,12 +314,14 @@
     fn end_attempt(&mut self, reason: &'static str) -> Option<Tag> {
         let attempt = self.attempt.take()?;
         if reason != "expired" {
-            attempt.lease.note(Outcome::Bad);
-            attempt.lease.cut(if reason == CONNECTION_CLOSED {
-                Cause::Closed
-            } else {
-                Cause::Silent
-            });
+            attempt.lease.record_outcome(Outcome::Bad);
+            attempt
+                .lease
+                .record_interruption(if reason == CONNECTION_CLOSED {
+                    Cause::Closed
+                } else {
+                    Cause::Silent
+                });
         }
         Some(attempt.lease.target.tag())
     }
@@ -333,6 +335,6 @@
     fn may_repeat(&self) -> bool {
         let expired = self.node.now() >= self.job.deadline;
         let unsafe_to_send = exchange::quarantine_refusal(&self.node, &self.job).is_some();
-        !expired && !unsafe_to_send && self.node.may_repeat(&self.job.service)
+        !expired && !unsafe_to_send && self.node.try_take_retry(&self.job.service)
     }
 }
--- a/crates/path/src/shutdown.rs
+++ b/crates/path/src/shutdown.rs
@@ -27,7 +27,7 @@
 /// Whether the router will exit too soon to accept a new request.
 #[must_use]
 pub fn refuses_requests(node: &Node, streams: bool) -> bool {
-    let Some(leaving_since) = node.leaving() else {
+    let Some(leaving_since) = node.leaving_since() else {
         return false;
     };
     let refuse_after = if streams {
@@ -43,7 +43,7 @@
     let mut leaving = node.watch_leaving();
     // The sender lives as long as the node.
     drop(leaving.wait_for(Option::is_some).await);
-    let leaving_since = node.leaving().unwrap_or_default();
+    let leaving_since = node.leaving_since().unwrap_or_default();
     node.sleep_until(leaving_since + UNREADY_DELAY).await;
 }
 
@@ -67,7 +67,7 @@
     }
     drop(node.journal.line("stopping").with("open", node.open.get()));
     node.leave();
-    let leaving_since = node.leaving().unwrap_or_default();
+    let leaving_since = node.leaving_since().unwrap_or_default();
     let exit_at = leaving_since + node.settings.grace.saturating_sub(KILL_MARGIN);
     node.sleep_until(leaving_since + UNREADY_DELAY).await;
     while node.now() < exit_at && node.open.get() > 0 {
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placing.rs
@@ -11,8 +11,8 @@
 use tokio::sync::oneshot;
 
 use super::{Claim, State, Wish};
-use crate::lease::{Giver, Lease, Place};
-use crate::queue::{Asker, Origin, Waiter};
+use crate::lease::{Granter, Lease, Place};
+use crate::queue::{Origin, Requester, Waiter};
 use crate::settings::Settings;
 
 /// Places that a pass over the queue found.
@@ -43,15 +43,15 @@
     pub(crate) fn answer(
         &mut self,
         settings: &Settings,
-        asker: Asker,
+        asker: Requester,
         mut wish: Wish,
         now: Duration,
     ) -> Content {
-        let Asker { peer, number, .. } = asker;
+        let Requester { peer, number, .. } = asker;
         if let Some(grant) = self.grants.find(RequestId { peer, number }) {
             return Content::Grant(grant);
         }
-        let known = self.queue.iter().any(|it| it.origin.is(peer, number));
+        let known = self.queue.iter().any(|it| it.origin.matches(peer, number));
         // What must not be sent now waits at its own router, not in the way of others.
         if !known && !self.held(&wish, now) {
             wish.returning |= self.returns(&wish, now);
@@ -71,7 +71,7 @@
             }
             self.queue.push(Waiter {
                 wish,
-                cover,
+                share_ratio: cover,
                 origin: Origin::Peer(asker),
             });
             return self.wait(number, customer, None, now);
@@ -214,7 +214,7 @@
             hit: choice.hit,
             fetch: choice.fetch.map(|it| it.address),
             owner: own,
-            giver: Giver::Own(charge),
+            granter: Granter::Own(charge),
             content: wish.content,
             standing: self.standing(wish, now),
         }
@@ -223,12 +223,12 @@
     /// Gives a place to another router's request.
     pub(crate) fn begin_for(
         &mut self,
-        asker: Asker,
+        asker: Requester,
         wish: &Wish,
         choice: &Choice,
         now: Duration,
     ) -> Grant {
-        let Asker { peer, number, .. } = asker;
+        let Requester { peer, number, .. } = asker;
         let tag = choice.target.tag();
         self.usage.begin_for(peer, tag, choice.unread, now);
         self.cold.record_request(tag, now);
@@ -286,20 +286,20 @@
     pub(crate) fn pass(&mut self, settings: &Settings, now: Duration) -> Pass {
         let mut pass = Pass::default();
         let mut queue = std::mem::take(&mut self.queue);
-        for waiter in queue.extract_if(.., |it| it.given_up(now)) {
+        for waiter in queue.extract_if(.., |it| it.is_abandoned(now)) {
             self.refuse(&waiter.wish, now);
         }
         queue.retain(|it| !self.held(&it.wish, now));
         for waiter in &mut queue {
-            waiter.cover = self.cover(&waiter.wish, now);
+            waiter.share_ratio = self.cover(&waiter.wish, now);
         }
-        queue.sort_by_key(|it| (it.cover < 1.0, it.wish.returning, it.wish.arrived));
+        queue.sort_by_key(|it| (it.share_ratio < 1.0, it.wish.returning, it.wish.arrived));
         for waiter in queue {
-            let choice = self.choose(settings, &waiter.wish, waiter.cover, now);
+            let choice = self.choose(settings, &waiter.wish, waiter.share_ratio, now);
             match (choice, waiter) {
                 (None, waiter) => self.queue.push(waiter),
                 (Some(choice), Waiter { wish, origin, .. }) => match origin {
-                    Origin::Here(reply) => {
+                    Origin::Local(reply) => {
                         let place = self.begin(&wish, choice, settings.link, now);
                         pass.here.push((reply, place));
                     }
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -8,7 +8,7 @@
 
 use crate::gossip;
 use crate::interruption;
-use crate::node::{List, Node, STORE, Told};
+use crate::node::{Node, PeerDelta, STORE, TargetList};
 
 /// Source of a list that was received from a peer.
 const PEER: &str = "peer";
@@ -18,7 +18,7 @@
 
 impl Node {
     /// Applies a complete list of targets.
-    pub fn apply_targets(&self, list: List, source: &str) {
+    pub fn apply_targets(&self, list: TargetList, source: &str) {
         let as_of = list.as_of;
         let (first, changes) = {
             let mut state = self.state.borrow_mut();
@@ -56,11 +56,11 @@
     }
 
     /// Applies the entries of a peer's list that this router's list lacks.
-    pub(crate) fn apply_peer_targets(&self, update: Told) {
+    pub(crate) fn apply_peer_targets(&self, update: PeerDelta) {
         let as_of = update.as_of;
         let first = self.targets_at().is_none();
         if first {
-            let list = List {
+            let list = TargetList {
                 targets: update.delta.written,
                 unreadable: Vec::new(),
                 as_of,
@@ -85,7 +85,7 @@
         }
         if changed {
             self.pool.evict(self.now(), |tag| self.is_removed(tag));
-            self.room_came();
+            self.notify_capacity();
         }
     }
 
@@ -152,7 +152,7 @@
         if let Some(change) = change {
             self.apply_change(&change, "target", now);
             self.pool.evict(now, |tag| self.is_removed(tag));
-            self.room_came();
+            self.notify_capacity();
         }
     }
 
@@ -180,7 +180,7 @@
     /// When the list of targets was current, as read by this router or confirmed by a peer.
     #[must_use]
     pub fn targets_at(&self) -> Option<Duration> {
-        self.look_for_wake();
+        self.detect_suspension();
         self.state.borrow().registry.read_at()
     }
 
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -20,7 +20,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::node::{Node, Told};
+use crate::node::{Node, PeerDelta};
 
 /// Limit of an encoded view.
 const MAX_VIEW_BYTES: u64 = 32 * 1024 * 1024;
@@ -183,7 +183,7 @@
         node.apply_evacuations(orders, "peer");
     }
     if let Some(configuration) = view.configuration {
-        node.take_configuration(configuration, "peer");
+        node.apply_configuration(configuration, "peer");
         if let Some(reading) = view.configuration_read {
             let now = node.now();
             node.state.borrow_mut().hear_configuration(reading, now);
@@ -208,7 +208,7 @@
             node.metrics.add("views_not_merged", "targets", 1);
             return;
         };
-        let update = Told {
+        let update = PeerDelta {
             delta,
             settled: targets.settled,
             reading: targets.read,
