--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -1,6 +1,6 @@
-//! Everything that changes at a router, and the decisions taken on it.
+//! Mutable state of a router, and the decisions that depend on it.
 //!
-//! No call here wakes a task or drops a lease, so the state is never borrowed twice.
+//! No method runs another task or drops a lease, either of which could borrow the state again.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -40,136 +40,140 @@
 use crate::queue::Waiter;
 use crate::settings::Settings;
 
-mod barred;
+mod availability;
 mod candidates;
-mod ended;
 mod homes;
-mod placing;
+mod leases;
+mod placement;
 mod suspects;
 #[cfg(test)]
 mod tests;
 
-pub(crate) use barred::{Bar, Opening};
+pub(crate) use availability::{Bar, Opening};
 
-/// At most one in so many targets of a service is ejected for failures.
-const EJECTED_PART: usize = 3;
+/// Bad outcomes eject no further target once one in this many targets of a service or
+/// cell is ejected.
+const MAX_EJECTED_DIVISOR: usize = 3;
 
-/// Which room of a cell a request may use.
+/// Part of a cell's capacity that a request may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Claim {
-    /// All of it, as the owner knows it.
+    /// All of it: the owner knows the load from all routers.
     All,
-    /// This router's own part, as no owner answers.
+    /// An equal part for each router: no owner answers, so other routers may place requests too.
     Own,
 }
 
-/// A request that looks for a target.
+/// A request for a place at a target.
 #[derive(Clone, Debug)]
 pub struct Wish {
-    /// The cell whose targets may run it.
+    /// Cell whose targets may run it.
     pub cell: Cell,
-    /// The router whose caller it is.
+    /// Router that received it from its client.
     pub router: Peer,
-    /// Its failure domain.
+    /// Failure domain of that router.
     pub domain: Arc<str>,
     /// Regions in which it may run.
     pub allowed: Constraint,
-    /// What it asks, unless that was answered lately.
+    /// Content, unless it was answered recently.
     pub content: Option<ContentTag>,
-    /// Its prompt.
+    /// Prompt, if it is for a model engine.
     pub prompt: Option<Rc<Prompt>>,
-    /// Its customer, if it has one.
+    /// Customer, if any.
     pub customer: Option<CustomerTag>,
-    /// Tokens for which its customer is charged.
+    /// Tokens charged to the customer.
     pub cost: u64,
-    /// Time to the first event that users expect.
+    /// Objective for the time to the first event.
     pub objective: Duration,
-    /// When it arrived.
+    /// Arrival time.
     pub arrived: Duration,
-    /// Whether its caller was refused before.
+    /// Whether it is a retry of a refused request.
     pub returning: bool,
-    /// Whether the tokens it asks for have been counted before.
+    /// Whether its tokens were already counted as demand.
     pub counted: bool,
-    /// Whether a target has failed it.
+    /// Whether it has failed at a target.
     pub failed: bool,
-    /// Targets that have failed it, or its router lately.
+    /// Targets on which it must not be placed: those that failed it, are ejected at its router, or
+    /// were found excluded there after a grant.
     pub avoid: Vec<Tag>,
-    /// When it is given up.
+    /// Time at which it stops waiting for a place.
     pub until: Duration,
-    /// Which room it may use.
+    /// Capacity that it may use.
     pub claim: Claim,
-    /// Spreads ties.
+    /// Random value that breaks ties between targets.
     pub draw: u64,
 }
 
-/// Everything that changes.
+/// Mutable state of a router.
 pub(crate) struct State {
     pub(crate) table: Option<Rc<Table>>,
-    /// Readings by which the configuration was the store's newest.
+    /// Readings of the store at which the configuration in force was its newest.
     pub(crate) configuration_reads: Readings,
     pub(crate) registry: Registry,
-    /// Whether a peer that knows a configuration knows nothing that this router lacks.
+    /// Whether a peer was found to have neither a newer configuration nor an unknown evacuation.
     pub(crate) compared: bool,
-    /// The newest era of the store.
+    /// Newest known era of the store.
     pub(crate) store: Era,
-    /// Failure domains whose targets get nothing.
+    /// Failure domains whose targets get no requests.
     pub(crate) evacuations: Evacuations,
-    /// Targets that bear few requests for now.
+    /// Rate limits of cold targets.
     pub(crate) cold: Limiter,
-    /// Routers that were known lately.
+    /// Largest recent number of known routers.
     peak: Peak,
-    /// Readings of the list of targets.
+    /// Readings of the list of targets in the store.
     pub(crate) registry_reads: Readings,
-    /// Where the store's log goes on behind that list.
+    /// Position in the store's log up to which the list is complete.
     pub(crate) registry_position: Option<Position>,
     pub(crate) usage: Usage,
     pub(crate) memory: History,
-    /// What engines of this router's cells say that they keep.
+    /// Contents of engines' prefix caches, as reported by the engines of this router's cells.
     pub(crate) caches: Caches,
     pub(crate) health: Health,
-    /// Targets that have turned requests away.
+    /// Backoff from targets that have refused requests.
     pub(crate) backoffs: Backoffs,
-    /// Identity of this router's start.
+    /// Identity of this run of the router.
     peer: Peer,
     pub(crate) budget: Budget,
     pub(crate) shares: Shares,
     pub(crate) reach: Reachability,
-    /// How long answers of other routers take.
+    /// Round-trip times to the failure domains of other routers.
     pub(crate) round_trips: RoundTrips,
-    /// The region of this router.
+    /// Region of this router.
     region: Region,
-    /// Cells of other regions that had no room for a customer's request from here, and when.
-    short: HashMap<(Cell, Option<CustomerTag>), Duration>,
-    /// Which callers come back.
+    /// When cells of other regions last had no room for a customer's request from this router.
+    full_cells: HashMap<(Cell, Option<CustomerTag>), Duration>,
+    /// Detects retries by the timeouts that clients send.
     pub(crate) tries: Detector,
-    /// Requests that found no room at this router's cells.
+    /// Contents of requests that got no place in this router's cells, by which the owner detects
+    /// retries.
     pub(crate) returns: Contents,
-    /// Which routers are alive.
+    /// Failure detection of routers.
     pub(crate) membership: Membership,
-    /// Which of them owns what.
+    /// Live routers, and the assignment of cells to them.
     pub(crate) members: Members,
     pub(crate) queue: Vec<Waiter>,
-    /// Failures that all routers report of the targets of this router's cells.
+    /// Health of the targets of this router's cells, from the outcomes that all routers report.
     reported: Health,
-    /// Places given to other routers lately.
+    /// Places recently granted to other routers.
     pub(crate) grants: Grants,
-    /// Contents under which targets ended.
+    /// Contents during whose runs targets terminated.
     pub(crate) quarantine: Ledger,
-    /// Whether what the store keeps of such contents is known, read or heard.
+    /// Whether the store's quarantine records are known, from the store or from a peer.
     pub(crate) quarantine_known: bool,
-    /// Runs of this router that did not end with an answer.
+    /// Runs of this router that ended without an answer.
     pub(crate) cuts: Interruptions,
-    /// Where contents run for which this router gave places.
+    /// Contents in flight for which this router granted places, and their targets.
     pub(crate) copies: InFlight,
-    /// Contents that this router's callers were answered.
+    /// Contents that were answered to this router's clients.
     pub(crate) answered: Answered,
+    /// Largest number of engines of a service seen when placing a prompt.
     engines_seen: usize,
 }
 
 impl State {
-    /// Nothing known yet.
+    /// Creates the state of a router that has received no views yet.
     pub(crate) fn new(settings: &Settings, peer: Peer) -> Self {
-        let card = Descriptor {
+        let descriptor = Descriptor {
             address: settings.link,
             peer,
             domain: settings.domain.clone(),
@@ -199,11 +203,15 @@
             reach: Reachability::new(settings.report_interval),
             round_trips: RoundTrips::default(),
             region: settings.regions.of(&settings.domain),
-            short: HashMap::new(),
+            full_cells: HashMap::new(),
             tries: Detector::new(),
             returns: Contents::default(),
-            membership: Membership::new(card.clone(), &settings.seeds, settings.report_interval),
-            members: Members::new(card).with_regions(settings.regions.clone()),
+            membership: Membership::new(
+                descriptor.clone(),
+                &settings.seeds,
+                settings.report_interval,
+            ),
+            members: Members::new(descriptor).with_regions(settings.regions.clone()),
             queue: Vec::new(),
             reported: Health::new(),
             grants: Grants::new(settings.share_window),
@@ -216,28 +224,28 @@
         }
     }
 
-    /// Forgets routers that have been silent, and answers that are no longer asked for. Returns
-    /// the targets whose named time is over for this router.
+    /// Removes expired entries and records how many routers are known. Returns the targets whose
+    /// backoff for this router has ended.
     pub(crate) fn prune(&mut self, now: Duration) -> Vec<Arc<Target>> {
         self.usage.prune(now);
         self.quarantine.prune(now);
         self.peak.record(self.members.count(), now);
         self.copies.prune(now);
         self.returns.prune(now);
-        self.lapse(now);
+        self.expire_grants(now);
         let over = self.backoffs.prune(self.peer, now);
         let over = over.into_iter().filter_map(|it| self.registry.get(it));
         over.cloned().collect()
     }
 
-    /// Takes over what changed in who is alive.
+    /// Applies membership changes, round-trip times and unanswered probes.
     pub(crate) fn apply(&mut self, effects: &Effects, now: Duration) {
         for change in &effects.changes {
             match change {
-                MemberChange::Updated(card, condition) => {
-                    self.members.upsert(card, *condition, now);
+                MemberChange::Updated(descriptor, condition) => {
+                    self.members.upsert(descriptor, *condition, now);
                 }
-                MemberChange::Ended(card) => self.members.remove(card),
+                MemberChange::Ended(descriptor) => self.members.remove(descriptor),
             }
         }
         for (address, time) in &effects.round_trips {
@@ -246,7 +254,7 @@
             }
         }
         for address in &effects.unanswered {
-            // The silence of a router that is about to end says nothing of its domain.
+            // A router that is shutting down may be silent although its domain is reachable.
             if !self.members.is_leaving(*address)
                 && let Some(domain) = self.members.domain(*address)
             {
@@ -255,20 +263,20 @@
         }
     }
 
-    /// This router doesn't keep up, or does again.
+    /// Sets whether this router is overloaded, and announces it.
     pub(crate) fn set_behind(&mut self, behind: bool) {
         self.members.set_overloaded(behind);
         self.membership.set_condition(self.members.condition());
     }
 
-    /// This router is about to end.
+    /// Announces that this router is shutting down.
     pub(crate) fn leave(&mut self) {
         self.members.leave();
         self.membership.set_condition(self.members.condition());
     }
 
-    /// A peer tells by which reading the configuration in force was the store's newest; when that
-    /// was, if it is not known to be older.
+    /// Applies a peer's reading at which the configuration in force was the newest of the store.
+    /// Returns its date; none if its reader has read again since.
     pub(crate) fn hear_configuration(
         &mut self,
         reading: Reading,
@@ -279,15 +287,15 @@
         Some(at)
     }
 
-    /// A peer with the same list of targets tells by which reading it has it.
+    /// Applies the reading of a peer whose list of targets equals the known one.
     pub(crate) fn confirm_registry(&mut self, views: &Views, reading: Reading, at: Duration) {
         self.registry.confirm(views.registry_digest, at);
         self.registry_reads.adopt(reading, at);
-        // The same list is as complete here, up to the same place.
+        // An equal list is complete up to the same log position.
         self.registry_position = self.registry_position.max(views.registry_position);
     }
 
-    /// Takes a list of targets.
+    /// Applies a list of all targets.
     pub(crate) fn take_list(&mut self, list: List) -> Vec<Change> {
         let listing = Listing {
             targets: list.targets,
@@ -306,8 +314,8 @@
         changes
     }
 
-    /// Takes what was written to the store's log behind the known list, up to `end`; none if more is
-    /// known by now.
+    /// Applies the records in the store's log since the known list, up to `end`; none if the known
+    /// list is newer or complete beyond `end`.
     pub(crate) fn take_delta(
         &mut self,
         delta: Delta,
@@ -326,7 +334,7 @@
         Some(changes)
     }
 
-    /// Takes what a peer's list has that the known one has not, if it is not older.
+    /// Applies the entries of a peer's list that the known list lacks, unless the peer's is older.
     pub(crate) fn take_told(&mut self, told: Told) -> Vec<Change> {
         let as_of = told.as_of;
         if self.registry.read_at().is_none_or(|at| as_of < at) {
@@ -342,23 +350,23 @@
         changes
     }
 
-    /// The store, or a peer, names an era.
+    /// Records an era of the store, as reported by the store or a peer.
     pub(crate) fn see_era(&mut self, era: u64, now: Duration) -> Observation {
-        let sight = self.store.observe(era, now);
-        if sight == Observation::Restored {
+        let observation = self.store.observe(era, now);
+        if observation == Observation::Restored {
             self.registry.record_restore(now);
         }
-        sight
+        observation
     }
 
-    /// Takes orders to evacuate failure domains, by `take`. Targets of a domain that is reopened may
-    /// have become cold meanwhile.
+    /// Changes the evacuations of failure domains by `update`. The targets of a reopened domain may
+    /// have become cold in the meantime, so they are marked as uncertain.
     pub(crate) fn change_evacuations(
         &mut self,
         now: Duration,
-        take: impl FnOnce(&mut Evacuations) -> Vec<evacuation::Change>,
+        update: impl FnOnce(&mut Evacuations) -> Vec<evacuation::Change>,
     ) -> Vec<evacuation::Change> {
-        let changes = take(&mut self.evacuations);
+        let changes = update(&mut self.evacuations);
         for change in &changes {
             let evacuation::Change::Reopened(domain) = change else {
                 continue;
@@ -370,14 +378,14 @@
         changes
     }
 
-    /// Name of a customer; none if the configuration in force doesn't have it.
+    /// Name of a customer; none if it is not in the configuration in force.
     pub(crate) fn customer_name(&self, tag: CustomerTag) -> Option<Arc<str>> {
         let customers = &self.table.as_ref()?.configuration().customers;
         let customer = customers.iter().find(|it| share::tag(&it.name) == tag);
         customer.map(|it| it.name.clone())
     }
 
-    /// A target has ended.
+    /// Removes the state of a target that has terminated.
     pub(crate) fn forget(&mut self, tag: Tag) {
         self.memory.remove_target(tag);
         self.caches.remove_target(tag);
@@ -386,24 +394,24 @@
         self.backoffs.forget(tag);
     }
 
-    /// Notes an outcome; true if the target is ejected by it.
+    /// Records an outcome of this router's own exchange; true if the target is ejected by it.
     pub(crate) fn note(&mut self, target: &Target, outcome: Outcome, now: Duration) -> bool {
-        self.doubt_cold(target, outcome, now);
+        self.mark_if_unreachable(target, outcome, now);
         if outcome == Outcome::Good {
             self.backoffs.record_running(target.tag(), now);
         }
         let targets = self.registry.targets_of_service(&target.service);
-        note(&mut self.health, targets, target, outcome, now)
+        record_outcome(&mut self.health, targets, target, outcome, now)
     }
 
-    /// Who could not be reached may have started anew.
-    fn doubt_cold(&mut self, target: &Target, outcome: Outcome, now: Duration) {
+    /// Marks an unreachable target as uncertain, as it may have restarted and be cold.
+    fn mark_if_unreachable(&mut self, target: &Target, outcome: Outcome, now: Duration) {
         if outcome == Outcome::Unreachable {
             self.cold.mark_uncertain(target.tag(), now);
         }
     }
 
-    /// Notes an outcome of another router; true if the target is ejected by it.
+    /// Records an outcome that another router reported; true if the target is ejected by it.
     pub(crate) fn note_reported(
         &mut self,
         target: &Target,
@@ -412,10 +420,10 @@
     ) -> bool {
         let cell = self.registry.cell_of(target);
         let targets = self.registry.targets_of_cell(cell);
-        note(&mut self.reported, targets, target, outcome, now)
+        record_outcome(&mut self.reported, targets, target, outcome, now)
     }
 
-    /// Targets of a cell that this router leaves alone.
+    /// Targets of a cell that are ejected at this router.
     pub(crate) fn avoided(&self, cell: Cell, now: Duration) -> Vec<Tag> {
         let targets = self.registry.targets_of_cell(cell);
         let tags = targets.iter().map(|it| it.tag());
@@ -423,7 +431,9 @@
     }
 }
 
-fn note(
+/// Records an outcome, unless it is bad and enough of `targets` are ejected; true if the target is
+/// ejected by it.
+fn record_outcome(
     health: &mut Health,
     targets: &[Arc<Target>],
     target: &Target,
@@ -431,7 +441,7 @@
     now: Duration,
 ) -> bool {
     let ejected = targets.iter().filter(|it| health.is_ejected(it.tag(), now));
-    let enough = ejected.count() * EJECTED_PART >= targets.len();
+    let enough = ejected.count() * MAX_EJECTED_DIVISOR >= targets.len();
     if outcome == Outcome::Bad && enough {
         return false;
     }
--- a/crates/path/src/state/barred.rs
+++ b/crates/path/src/state/availability.rs
@@ -1,8 +1,8 @@
-//! Targets that must get nothing, whoever gave a place there.
+//! Targets that must not get requests, whichever router granted a place there.
 //!
-//! The owner of a cell places requests by what it knows; the router that sends one may know better, or
-//! learn better while it opens a connection. So what is said here holds three times: when a place is
-//! chosen, when it is taken, and before the first byte is sent.
+//! The owner of a cell places requests by its own view. The router that sends a request may have a
+//! newer one, or receive it while it opens a connection. So targets are checked three times: when
+//! the owner places a request, when a grant is accepted, and before the first byte is sent.
 
 use std::time::Duration;
 
@@ -12,41 +12,42 @@
 
 use super::{State, Wish};
 
-/// Why a target must get nothing.
+/// Why a target must not get a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bar {
-    /// Operators have evacuated its failure domain.
+    /// Its failure domain is evacuated.
     Evacuated,
-    /// It is about to end.
+    /// It is shutting down.
     Leaving,
-    /// It wants nothing of this router for now.
+    /// It requested backoff from this router.
     BackedOff,
-    /// Operators have bound the request to other regions.
+    /// Its region is not allowed for the request.
     OutOfRegion,
 }
 
-/// When a cell has a target that may get something.
+/// When a cell has a target that may get requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Opening {
+    /// At once.
     Now,
-    /// From then on, by the times that its targets have named.
+    /// From this time on, when a backoff ends.
     At(Duration),
-    /// Not before the list of targets or the operators' orders change.
+    /// Not before the list of targets or the evacuations change.
     Never,
 }
 
 impl Opening {
-    /// How long it is closed, if that is longer than a request waits.
-    pub(crate) fn closed_for(self, wish: &Wish, now: Duration) -> Option<Duration> {
+    /// Time until a target is available, if a request stops waiting before.
+    pub(crate) fn closed_for(self, request: &Wish, now: Duration) -> Option<Duration> {
         match self {
-            Self::At(at) if at > wish.until => Some(at.saturating_sub(now)),
+            Self::At(at) if at > request.until => Some(at.saturating_sub(now)),
             Self::Now | Self::At(_) | Self::Never => None,
         }
     }
 }
 
 impl Bar {
-    /// Name in logs and metrics.
+    /// Label in logs and metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Evacuated => "evacuated",
@@ -58,7 +59,7 @@
 }
 
 impl State {
-    /// Why a target must not get a request of this router's callers, if it must not.
+    /// Why a target must not get a request of this router's clients; none if it may.
     pub(crate) fn barred(
         &self,
         target: &Target,
@@ -85,34 +86,38 @@
         self.evacuations.is_evacuated(&target.domain)
     }
 
-    /// Whether a target may get work of any router, as far as lists, operators and it itself say.
+    /// Whether a target is ready and its failure domain is not evacuated.
     pub(crate) fn open(&self, target: &Target) -> bool {
         target.state == Condition::Ready && !self.evacuated(target)
     }
 
-    /// When the first target of a cell may get something of this router's callers, by what the targets
-    /// have told it. Who waits longer for one, or for one that never will, waits in vain.
+    /// When the first target of a cell may get requests of this router's clients, by the backoff
+    /// that the targets requested from it. A request that stops waiting before then cannot be
+    /// placed.
     pub(crate) fn opening(&self, cell: Cell, now: Duration) -> Opening {
-        self.first_opening(cell, |tag| self.backoffs.backoff_until(self.peer, tag, now))
+        self.first_available(cell, |tag| self.backoffs.backoff_until(self.peer, tag, now))
     }
 
-    /// The same for the callers of any router, as the owner of the cell knows.
-    pub(crate) fn opening_for(&self, wish: &Wish, now: Duration) -> Opening {
-        self.first_opening(wish.cell, |tag| {
-            let opens = self.backoffs.available_at(wish.router, tag, now);
-            Some(opens).filter(|it| *it > now)
+    /// When the first target of a cell may get a request of any router, as known to the cell's
+    /// owner.
+    pub(crate) fn opening_for(&self, request: &Wish, now: Duration) -> Opening {
+        self.first_available(request.cell, |tag| {
+            let available_at = self.backoffs.available_at(request.router, tag, now);
+            Some(available_at).filter(|it| *it > now)
         })
     }
 
-    fn first_opening(&self, cell: Cell, closed: impl Fn(Tag) -> Option<Duration>) -> Opening {
+    /// When the first target of a cell may get requests; `backoff` gives the end of a target's
+    /// backoff, if it is in one.
+    fn first_available(&self, cell: Cell, backoff: impl Fn(Tag) -> Option<Duration>) -> Opening {
         let targets = self.registry.targets_of_cell(cell);
         if targets.is_empty() {
-            // None is known yet, or none any more.
+            // No target is known yet, or none is left; requests wait for one.
             return Opening::Now;
         }
         let mut first = Opening::Never;
         for target in targets.iter().filter(|it| self.open(it)) {
-            let Some(until) = closed(target.tag()) else {
+            let Some(until) = backoff(target.tag()) else {
                 return Opening::Now;
             };
             first = match first {
@@ -123,7 +128,7 @@
         first
     }
 
-    /// Targets of a cell that want nothing of this router for now.
+    /// Targets of a cell that requested backoff from this router.
     pub(crate) fn backed_off(&self, cell: Cell, now: Duration) -> Vec<Tag> {
         let targets = self.registry.targets_of_cell(cell).iter();
         let tags = targets.map(|it| it.tag());
--- a/crates/path/src/state/candidates.rs
+++ b/crates/path/src/state/candidates.rs
@@ -1,4 +1,4 @@
-//! Which targets may run a request.
+//! Candidate targets for a request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,49 +11,57 @@
 use super::{Claim, State, Wish};
 use crate::settings::Settings;
 
-/// Time after its start for which a router sends nothing to cold targets: until it knows the others it
-/// takes itself for the owner of all cells, as they do after a restart of all. They hear of each other
-/// within 1 s, and own nothing for 1.5 s more.
-const ALONE: Duration = Duration::from_secs(3);
+/// Time after its start in which a router places no requests on cold targets. Until routers
+/// discover each other, each regards itself as the owner of all cells, and after a restart of the
+/// whole fleet all do so at once. Discovery takes up to 1 s, and a discovered router owns no cells
+/// for 1.5 s.
+const COLD_STARTUP_DELAY: Duration = Duration::from_secs(3);
 
 impl State {
-    /// The targets that may run a request, with what is known of each; `kept` is how long an engine
-    /// that tells nothing is taken to keep a prefix.
-    pub(super) fn candidates(&self, wish: &Wish, kept: Duration, now: Duration) -> Vec<Candidate> {
-        let prompt = wish.prompt.as_deref();
+    /// Targets that may run a request, with their known state. `retention` is how long an engine
+    /// that does not report its cache is assumed to cache a prefix.
+    pub(super) fn candidates(
+        &self,
+        request: &Wish,
+        retention: Duration,
+        now: Duration,
+    ) -> Vec<Candidate> {
+        let prompt = request.prompt.as_deref();
         let prefix = prompt.and_then(Prompt::prefix);
         let usable = |target: &&Arc<Target>| {
             let tag = target.tag();
             self.open(target)
-                && self.backoffs.available_at(wish.router, tag, now) <= now
+                && self.backoffs.available_at(request.router, tag, now) <= now
                 && !self.reported.is_ejected(tag, now)
-                && !wish.avoid.contains(&tag)
+                && !request.avoid.contains(&tag)
         };
         let usable = self
             .registry
-            .targets_of_cell(wish.cell)
+            .targets_of_cell(request.cell)
             .iter()
             .filter(usable);
-        let usable = self.apart(wish, usable.collect(), now);
+        let usable = self.isolate_suspect(request, usable.collect(), now);
         let candidates = usable.into_iter().map(|target| {
             let tag = target.tag();
             Candidate {
                 target: target.clone(),
                 load: self.usage.total(tag),
-                local: target.domain == wish.domain,
-                assumed_cached: prefix.is_some_and(|it| self.memory.is_cached(it, tag, kept, now)),
+                local: target.domain == request.domain,
+                assumed_cached: prefix
+                    .is_some_and(|it| self.memory.is_cached(it, tag, retention, now)),
                 prefix_match: prompt.and_then(|it| self.caches.prefix_match(tag, it, now)),
             }
         });
         candidates.collect()
     }
 
-    /// Leaves out cold targets that have had as many requests as they bear. One that failed elsewhere
-    /// is not sent to a second one, nor is one that this router places without the owner.
-    pub(super) fn spare_cold(
+    /// Removes cold targets that have reached their rate limit. All cold targets are removed for a
+    /// request that failed at another target, for one that this router places without the owner,
+    /// and shortly after this router's start.
+    pub(super) fn limit_cold(
         &mut self,
         settings: &Settings,
-        wish: &Wish,
+        request: &Wish,
         service: &str,
         candidates: &mut Vec<Candidate>,
         now: Duration,
@@ -70,15 +78,16 @@
             rate,
             max_per_second,
         };
-        let known = self.members.count();
-        let part = cold_start::rate_share(known, self.peak.max());
-        let spared = wish.failed || wish.claim == Claim::Own || now < ALONE;
+        let known_routers = self.members.count();
+        let rate_share = cold_start::rate_share(known_routers, self.peak.max());
+        let exclude_cold =
+            request.failed || request.claim == Claim::Own || now < COLD_STARTUP_DELAY;
         candidates.retain(|it| {
             let tag = it.target.tag();
-            if spared {
+            if exclude_cold {
                 !self.cold.is_cold(tag, now)
             } else {
-                self.cold.allows(tag, bound, part, now)
+                self.cold.allows(tag, bound, rate_share, now)
             }
         });
     }
--- a/crates/path/src/state/homes.rs
+++ b/crates/path/src/state/homes.rs
@@ -1,8 +1,8 @@
-//! Which cell a request goes to.
+//! Selection of the cell that runs a request.
 //!
-//! Each region has a home for each prefix, so that what is asked in one is read once there. A request
-//! goes to the home in its router's region; to that of another region only while its own has no target
-//! that may get anything, or no room, and only where operators allow it to run.
+//! Each prefix has a home cell in each region, so that it is prefilled once per region. A request
+//! goes to the home in the region of its router. It goes to the home in another region only if that
+//! region is allowed, and only while its own region has no available target or no room.
 
 use std::time::Duration;
 
@@ -14,13 +14,16 @@
 
 use super::{Opening, State};
 
-/// Time for which a region that had no room for a request of another one is not asked again for that
-/// customer: what floods one region must not be turned away by all.
-const SHORT_PAUSE: Duration = Duration::from_millis(200);
+/// Time for which a cell in another region that had no room for a customer's request is not asked
+/// again for that customer. Otherwise each request of a flood in one region would be sent to, and
+/// refused in, all regions.
+const FULL_CELL_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 impl State {
-    /// The cell that is home to a prefix, or to a request without one. While none of its targets may
-    /// get anything, that is the next one where one may. None if no target may run the request.
+    /// Home cell of a prefix, or of a number that stands in for one. If no target of it is
+    /// available, the next cell with an available target, or the home if there is none. None if no
+    /// target may run the request or, while no target of the service is known, if this router's
+    /// region is not allowed.
     pub(crate) fn home(
         &self,
         service: &str,
@@ -30,7 +33,7 @@
     ) -> Option<Cell> {
         let service = ServiceTag::new(service);
         if self.registry.regions(service).next().is_none() {
-            // No list is known yet, or it has none of this service.
+            // No list is known yet, or it has no target of this service.
             let region = self.region;
             let cell = Cell {
                 service,
@@ -40,15 +43,19 @@
             return allowed.admits(region).then_some(cell);
         }
         let regions = self.regions(service, prefix, allowed);
-        let mut turns = regions
+        let mut cells = regions
             .iter()
-            .flat_map(|it| self.turns(service, *it, prefix));
-        let open = turns.find(|it| self.opening(*it, now) == Opening::Now);
-        let first = || self.turns(service, *regions.first()?, prefix).next();
-        open.or_else(first)
+            .flat_map(|it| self.cells_from_home(service, *it, prefix));
+        let available = cells.find(|it| self.opening(*it, now) == Opening::Now);
+        let first = || {
+            self.cells_from_home(service, *regions.first()?, prefix)
+                .next()
+        };
+        available.or_else(first)
     }
 
-    /// The home in the next region after that of a cell which had no room.
+    /// Home cell of a prefix in the first other region whose cell is available and had no lack of
+    /// room for the customer lately, for a request that found no room in `full`.
     pub(crate) fn home_elsewhere(
         &self,
         full: Cell,
@@ -59,24 +66,24 @@
     ) -> Option<Cell> {
         let regions = self.regions(full.service, prefix, allowed);
         let others = regions.iter().filter(|it| **it != full.region);
-        let homes = others.filter_map(|it| self.turns(full.service, *it, prefix).next());
-        let mut roomy = homes.filter(|it| {
-            let short = self.short.get(&(*it, customer)).copied();
-            let short = short.is_some_and(|at| now.saturating_sub(at) < SHORT_PAUSE);
-            !short && self.opening(*it, now) == Opening::Now
+        let homes = others.filter_map(|it| self.cells_from_home(full.service, *it, prefix).next());
+        let mut available = homes.filter(|it| {
+            let full_at = self.full_cells.get(&(*it, customer)).copied();
+            let is_full = full_at.is_some_and(|at| now.saturating_sub(at) < FULL_CELL_RETRY_DELAY);
+            !is_full && self.opening(*it, now) == Opening::Now
         });
-        roomy.next()
+        available.next()
     }
 
-    /// A cell of another region had no room for a customer's request either.
+    /// Records that a cell of another region had no room for a customer's request.
     pub(crate) fn note_short(&mut self, cell: Cell, customer: Option<CustomerTag>, now: Duration) {
-        self.short
-            .retain(|_, at| now.saturating_sub(*at) < SHORT_PAUSE);
-        self.short.insert((cell, customer), now);
+        self.full_cells
+            .retain(|_, at| now.saturating_sub(*at) < FULL_CELL_RETRY_DELAY);
+        self.full_cells.insert((cell, customer), now);
     }
 
-    /// Regions that may run a request: this router's own, and then the others in an order that differs
-    /// from prefix to prefix, so that all of them lend alike.
+    /// Allowed regions: first this router's own, then the others in an order that depends on the
+    /// prefix, so that all of them take an equal part of another region's overflow.
     fn regions(&self, service: ServiceTag, prefix: Prefix, allowed: Constraint) -> Vec<Region> {
         let regions = self.registry.regions(service);
         let mut regions: Vec<_> = regions.filter(|it| allowed.admits(*it)).collect();
@@ -84,22 +91,22 @@
         regions
     }
 
-    /// The cells of a region that have targets, the home of a prefix first.
-    fn turns(
+    /// Cells of a region that have targets, in order from the home of a prefix.
+    fn cells_from_home(
         &self,
         service: ServiceTag,
         region: Region,
         prefix: Prefix,
     ) -> impl Iterator<Item = Cell> {
-        let cells = self.registry.cells(service, region);
-        let sizes: Vec<_> = cells.iter().map(Vec::len).collect();
+        let targets = self.registry.cells(service, region);
+        let sizes: Vec<_> = targets.iter().map(Vec::len).collect();
         let home = cell::home(prefix, &sizes).unwrap_or_default();
         let count = u16::try_from(sizes.len()).unwrap_or(u16::MAX).max(1);
-        let turns = (0..count).map(move |turn| Cell {
+        let cells = (0..count).map(move |step| Cell {
             service,
             region,
-            index: (home + turn) % count,
+            index: (home + step) % count,
         });
-        turns.filter(move |it| sizes.get(usize::from(it.index)).is_some_and(|it| *it > 0))
+        cells.filter(move |it| sizes.get(usize::from(it.index)).is_some_and(|it| *it > 0))
     }
 }
--- a/crates/path/src/state/ended.rs
+++ b/crates/path/src/state/leases.rs
@@ -1,5 +1,5 @@
-//! What becomes of places that an owner gave to other routers: used, given back, refused by their
-//! targets, or never heard of again.
+//! Leases of places that an owner granted to other routers: they are used, returned, withdrawn, or
+//! expire without a confirmation.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use super::State;
 
 impl State {
-    /// Another router's request no longer waits; if it was given a place, that is not used.
+    /// Withdraws another router's request; a place that it was granted is not used.
     pub(crate) fn withdraw(&mut self, peer: Peer, number: u64, now: Duration) {
         let mut queue = std::mem::take(&mut self.queue);
         for waiter in queue.extract_if(.., |it| it.origin.is(peer, number)) {
@@ -32,13 +32,13 @@
         self.undo(end, now);
     }
 
-    /// A target has read another router's prompt.
+    /// Records that a target has prefilled another router's prompt.
     pub(crate) fn read_for(&mut self, peer: Peer, tag: Tag, unread: u64, now: Duration) {
         self.usage.end_prefill_for(peer, tag, unread);
         self.backoffs.record_running(tag, now);
     }
 
-    /// Another router's place is free again.
+    /// Records that a place granted to another router is free again.
     pub(crate) fn returned(&mut self, peer: Peer, returned: &Return, now: Duration) {
         self.usage.end_for(peer, returned.tag, returned.unread);
         if let Some(content) = returned.content {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Another router uses places that it was given.
+    /// Confirms that another router uses places that it was granted.
     pub(crate) fn confirm(&mut self, peer: Peer, numbers: &[u64], now: Duration) {
         for number in numbers {
             let request = RequestId {
@@ -72,9 +72,9 @@
         }
     }
 
-    /// Ends places of which nothing was heard. Their work is not counted any more either: a report
-    /// has come since, or the router is silent.
-    pub(crate) fn lapse(&mut self, now: Duration) {
+    /// Ends leases that were not confirmed in time. Their load need not be subtracted: a later
+    /// report of the router has replaced it, or the router is silent and its load is dropped.
+    pub(crate) fn expire_grants(&mut self, now: Duration) {
         for end in self.grants.expire(now) {
             if let Some(content) = end.lease.content {
                 self.copies.end(content, end.lease.grant.tag);
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Undoes what was counted for a place that is not used.
+    /// Reverts the accounting for a place that is not used: its charge, and its prefix unless the
+    /// place was confirmed, which means that the request was sent to the target.
     fn undo(&mut self, end: End, now: Duration) {
         self.take_back(end.lease.charge, now);
         if let Some(prefix) = end.lease.prefix.filter(|_| !end.confirmed) {
@@ -91,10 +92,10 @@
         }
     }
 
-    /// Takes back what was charged for a place that is not used. Otherwise a customer whose requests
-    /// are given up before their places come counts as over its share for what it never had: with
-    /// answers 5 to 60 ms late it got 13 in 100 of what another one did in six seconds, and 96 with
-    /// charges taken back (`tests`).
+    /// Refunds the charge for a place that is not used. Without the refund, a customer whose
+    /// requests time out before their grants arrive counts as over its share for capacity that it
+    /// never used: with answers read 5 to 60 ms late, it got 13 % of the tokens of another customer
+    /// in six seconds, and 96 % with refunds (see `tests`).
     pub(crate) fn take_back(&mut self, charge: Option<Charge>, now: Duration) {
         if let Some(charge) = charge {
             self.shares.refund(charge, now);
--- a/crates/path/src/state/placing.rs
+++ b/crates/path/src/state/placement.rs
@@ -1,4 +1,4 @@
-//! Which request gets which place: what an owner decides, and what it then counts.
+//! Placement of requests by the owner of their cell, and the accounting for it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,17 +15,17 @@
 use crate::queue::{Asker, Origin, Waiter};
 use crate::settings::Settings;
 
-/// Places that a pass over the queue found.
+/// Places granted in a pass over the queue.
 #[derive(Default)]
 pub(crate) struct Pass {
-    /// Those of this router's own callers.
+    /// Places for requests of this router's clients.
     pub(crate) here: Vec<(oneshot::Sender<Lease>, Place)>,
-    /// Those of other routers.
+    /// Places for requests of other routers.
     pub(crate) peers: Vec<(SocketAddr, Grant)>,
 }
 
 impl State {
-    /// Counts what a request asks for, once.
+    /// Records the tokens of a request as demand, unless that was done before.
     pub(crate) fn count(&mut self, wish: &Wish, now: Duration) {
         if let Some(customer) = wish.customer
             && !wish.counted
@@ -34,12 +34,12 @@
         }
     }
 
-    /// Whether others wait for the same targets.
+    /// Whether requests for the same cell are queued.
     pub(crate) fn waits(&self, wish: &Wish) -> bool {
         self.queue.iter().any(|it| it.wish.cell == wish.cell)
     }
 
-    /// Answers another router's request: with a place, or that it waits.
+    /// Answers another router's request with a place, or with the state of the queue.
     pub(crate) fn answer(
         &mut self,
         settings: &Settings,
@@ -52,10 +52,11 @@
             return Content::Grant(grant);
         }
         let known = self.queue.iter().any(|it| it.origin.is(peer, number));
-        // What must not be sent now waits at its own router, not in the way of others.
+        // A blocked content is not queued here: its router repeats the request.
         if !known && !self.held(&wish, now) {
             wish.returning |= self.returns(&wish, now);
-            // A request is no sign of contention before it was found to have no room.
+            // Computed before the demand is recorded: the request itself is no sign of contention
+            // until it has found no room.
             let cover = self.cover(&wish, now);
             self.count(&wish, now);
             if !self.waits(&wish)
@@ -79,13 +80,13 @@
         self.wait(number, wish.customer, None, now)
     }
 
-    /// Whether the caller of a request was refused before, as far as is known here.
+    /// Whether a request is a retry of one that got no place here.
     pub(crate) fn returns(&self, wish: &Wish, now: Duration) -> bool {
         wish.content
             .is_some_and(|it| self.returns.contains(it, now))
     }
 
-    /// A request leaves the queue without a place.
+    /// Records that a request got no place.
     pub(crate) fn refuse(&mut self, wish: &Wish, now: Duration) {
         if let Some(content) = wish.content {
             self.returns.insert(content, now);
@@ -107,7 +108,7 @@
         })
     }
 
-    /// Share of the request's customer against its use; 1 or more within it.
+    /// Ratio of the share of the request's customer to its usage; 1 or more within the share.
     pub(crate) fn cover(&mut self, wish: &Wish, now: Duration) -> f64 {
         let Some(customer) = wish.customer else {
             return 1.0;
@@ -115,11 +116,12 @@
         self.shares.share_ratio(customer, wish.cost, now)
     }
 
+    /// Selects a target for a request; none if there is no room for it.
     pub(crate) fn choose(
         &mut self,
         settings: &Settings,
         wish: &Wish,
-        cover: f64,
+        share_ratio: f64,
         now: Duration,
     ) -> Option<Choice> {
         if self.held(wish, now) {
@@ -136,45 +138,48 @@
         #[expect(clippy::cast_precision_loss, reason = "a few hundred targets")]
         let rate = table.limits().tokens_per_second / self.engines_seen.max(1) as f64;
         let engine = table.service(&service).and_then(|it| it.engine);
-        let kept = prefix::retention(engine.map_or(0, |it| it.memory_tokens), rate);
-        let mut candidates = self.candidates(wish, kept, now);
-        self.spare_cold(settings, wish, &service, &mut candidates, now);
-        let together = self.together(wish, &candidates);
-        let ask = Criteria {
+        let retention = prefix::retention(engine.map_or(0, |it| it.memory_tokens), rate);
+        let mut candidates = self.candidates(wish, retention, now);
+        self.limit_cold(settings, wish, &service, &mut candidates, now);
+        let in_flight = self.in_flight_candidate(wish, &candidates);
+        let criteria = Criteria {
             prompt,
             objective: wish.objective,
             rate,
             fetch_seconds: engine.and_then(|it| it.fetch_seconds),
-            // Beyond a share a request takes what comes free where its prefix is. Memory moved for it
-            // crowds out other prefixes: with moves for all, callers got 0.884 of the worth they
-            // asked for, and 0.895 without these (mean of five days of high load).
-            allow_fetch: cover >= 1.0,
+            // A request beyond its customer's share fetches no prefix from another cache, as the
+            // fetched tokens evict other prefixes. With fetches for all requests, clients got 0.884
+            // of the worth that they asked for, and 0.895 without these (mean of five days of high
+            // load).
+            allow_fetch: share_ratio >= 1.0,
             waited: now.saturating_sub(wish.arrived),
             allow_miss: now >= wish.arrived + wish.objective.mul_f64(settings.patience.miss),
-            capacity_share: self.room(settings, wish, cover),
-            // Who has had little of its share is not bound to the targets that keep its
-            // prefix, where others may have taken all room.
-            miss_capacity_scale: cover.max(1.0),
+            capacity_share: self.capacity_share(settings, wish, share_ratio),
+            // A customer far below its share may recompute prefixes more, as others may use all
+            // room at the targets that cache its prefixes.
+            miss_capacity_scale: share_ratio.max(1.0),
             tie_breaker: wish.draw,
         };
         let policy = &settings.policy;
-        let choice = together.and_then(|it| placement::choose(policy, &ask, &[it]));
-        // Nobody waits for a full target while others have room.
-        choice.or_else(|| placement::choose(policy, &ask, &candidates))
+        let choice = in_flight.and_then(|it| placement::choose(policy, &criteria, &[it]));
+        // If that target is full, the request runs on another one instead of waiting.
+        choice.or_else(|| placement::choose(policy, &criteria, &candidates))
     }
 
-    /// Part of all room that a request may use.
-    fn room(&self, settings: &Settings, wish: &Wish, cover: f64) -> f64 {
+    /// Ratio of the capacity that a request may use, 0 to 1.
+    fn capacity_share(&self, settings: &Settings, wish: &Wish, share_ratio: f64) -> f64 {
         let patience = &settings.patience;
-        let share = match (cover < 1.0, wish.returning) {
+        let share = match (share_ratio < 1.0, wish.returning) {
             (false, _) => 1.0,
-            // Squared, as what is left at full targets goes to whoever asks most often.
-            (true, false) => patience.over_share * cover * cover,
-            // Beyond a share new callers, who can still be answered in time, use up all that the
-            // share allows. With the same room for both, 36 in 100 of the requests that ran for a
-            // flooding customer were late before they began; all callers got 0.859 of the worth
-            // they asked for, and 0.888 with a fifth of it (mean of five days of high load).
-            (true, true) => patience.over_share * cover * cover * patience.again,
+            // Squared, because the customer with the most requests gets most of the remaining room
+            // at full targets.
+            (true, false) => patience.over_share * share_ratio * share_ratio,
+            // Beyond a share, retries get only a part of this room, so that first attempts, which
+            // can still be answered in time, get the rest. With the same room for both, 36 % of
+            // the requests that ran for a flooding customer were late before they began, and all
+            // clients got 0.859 of the worth that they asked for; with a fifth of the room for
+            // retries they got 0.888 (mean of five days of high load).
+            (true, true) => patience.over_share * share_ratio * share_ratio * patience.again,
         };
         #[expect(clippy::cast_precision_loss, reason = "a few hundred routers")]
         let claimed = match wish.claim {
@@ -184,7 +189,7 @@
         share * claimed
     }
 
-    /// Gives a place to a request of this router's callers.
+    /// Grants a place to a request of this router's clients.
     pub(crate) fn begin(
         &mut self,
         wish: &Wish,
@@ -219,7 +224,7 @@
         }
     }
 
-    /// Gives a place to another router's request.
+    /// Grants a place to another router's request.
     pub(crate) fn begin_for(
         &mut self,
         asker: Asker,
@@ -236,9 +241,9 @@
             self.caches.record_sent(tag, prompt, now);
         }
         let prefix = wish.prompt.as_deref().and_then(Prompt::prefix);
-        let prefix = prefix.map(|it| Use::new(it, tag));
-        if let Some(prefix) = prefix {
-            self.memory.record_grant(prefix);
+        let used = prefix.map(|it| Use::new(it, tag));
+        if let Some(used) = used {
+            self.memory.record_grant(used);
         }
         if let Some(content) = wish.content {
             self.copies.begin(content, tag, now);
@@ -255,7 +260,7 @@
         let lease = grants::Lease {
             grant,
             charge,
-            prefix,
+            prefix: used,
             content: wish.content,
         };
         self.grants.insert(RequestId { peer, number }, lease, now);
@@ -272,7 +277,7 @@
         Some(self.shares.standing(customer, now))
     }
 
-    /// Takes a place that another router gave.
+    /// Records that this router uses a place that another router granted.
     pub(crate) fn take_place(&mut self, wish: &Wish, grant: &Grant, now: Duration) {
         self.usage.begin(grant.tag, grant.unread);
         if let Some(prefix) = wish.prompt.as_deref().and_then(Prompt::prefix) {
@@ -280,8 +285,8 @@
         }
     }
 
-    /// Goes through the queue: customers within their share first, then callers that were not
-    /// refused before, then by arrival.
+    /// Grants places to queued requests: those within their customer's share first, then first
+    /// attempts before retries, then by arrival.
     pub(crate) fn pass(&mut self, settings: &Settings, now: Duration) -> Pass {
         let mut pass = Pass::default();
         let mut queue = std::mem::take(&mut self.queue);
--- a/crates/path/src/state/suspects.rs
+++ b/crates/path/src/state/suspects.rs
@@ -1,4 +1,4 @@
-//! Where contents may run under which targets have ended, or that were not answered yet.
+//! Placement of suspected contents, and of contents that were not answered yet.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,47 +10,53 @@
 use super::{State, Wish};
 
 impl State {
-    /// Whether a request must not be sent now for what its content may have done.
-    pub(crate) fn held(&self, wish: &Wish, now: Duration) -> bool {
-        let standing = wish
+    /// Whether the content of a request is held or quarantined, so that it must not be sent now.
+    pub(crate) fn held(&self, request: &Wish, now: Duration) -> bool {
+        let status = request
             .content
             .map(|it| self.quarantine.status_by_tag(it, now));
-        matches!(standing, Some(Status::Held | Status::Quarantined(_)))
+        matches!(status, Some(Status::Held | Status::Quarantined(_)))
     }
 
-    /// Of these targets those at which a suspected content may run: the one where it runs already; else
-    /// one without another suspect, so that an end there has one cause, and with the fewest runs that
-    /// would end with it.
-    pub(super) fn apart<'a>(
+    /// Restricts the targets for a suspected content. If it already runs on one of them, only that
+    /// one remains. Otherwise those remain that run no other suspect, so that a termination has
+    /// only one possible cause, and that run the fewest requests, as all of these would fail with
+    /// the target.
+    pub(super) fn isolate_suspect<'a>(
         &self,
-        wish: &Wish,
+        request: &Wish,
         mut targets: Vec<&'a Arc<Target>>,
         now: Duration,
     ) -> Vec<&'a Arc<Target>> {
-        let Some(content) = wish.content else {
+        let Some(content) = request.content else {
             return targets;
         };
-        let suspect = |it| self.quarantine.status_by_tag(it, now) != Status::Free;
-        if !suspect(content) {
+        let is_suspect = |it| self.quarantine.status_by_tag(it, now) != Status::Free;
+        if !is_suspect(content) {
             return targets;
         }
         let runs_at = self.copies.target(content);
         if let Some(target) = targets.iter().find(|it| Some(it.tag()) == runs_at) {
             return vec![target];
         }
-        targets.retain(|it| !self.copies.contents_on(it.tag()).any(suspect));
+        targets.retain(|it| !self.copies.contents_on(it.tag()).any(is_suspect));
         let running = |it: &Arc<Target>| self.usage.total(it.tag()).running;
-        let least = targets.iter().map(|it| running(it)).min();
-        targets.retain(|it| Some(running(it)) == least);
+        let min_running = targets.iter().map(|it| running(it)).min();
+        targets.retain(|it| Some(running(it)) == min_running);
         targets
     }
 
-    /// The target where a content already runs that was not answered yet: what ends its targets then
-    /// ends one at a time, however often it is asked.
-    pub(super) fn together(&self, wish: &Wish, candidates: &[Candidate]) -> Option<Candidate> {
-        let runs_at = self.copies.target(wish.content?)?;
+    /// Candidate that already runs the content of a request, which was not answered yet. Runs of
+    /// the same content on one target let it terminate only one target at a time, however many
+    /// requests for it arrive.
+    pub(super) fn in_flight_candidate(
+        &self,
+        request: &Wish,
+        candidates: &[Candidate],
+    ) -> Option<Candidate> {
+        let runs_at = self.copies.target(request.content?)?;
         let mut candidates = candidates.iter();
-        let there = candidates.find(|it| it.target.tag() == runs_at);
-        there.cloned()
+        let candidate = candidates.find(|it| it.target.tag() == runs_at);
+        candidate.cloned()
     }
 }
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -173,7 +173,8 @@
     Returned(u64, Return),
     /// The owner goes through its queue.
     Pass,
-    /// Routers tell what they have and which places they use; the owner ends leases that are not confirmed.
+    /// Routers tell what they have and which places they use; the owner ends leases that are not
+    /// confirmed.
     Report,
 }
 
@@ -385,7 +386,7 @@
         for (peer, usage) in (0..).map(Peer).zip(&self.usages) {
             self.owner.usage.apply_report(peer, usage.own_loads(), now);
         }
-        self.owner.lapse(now);
+        self.owner.expire_grants(now);
         self.room_came(now);
         self.plan(now + REPORTS, Event::Report);
     }
@@ -502,8 +503,8 @@
 }
 
 /// The word that a place is not used is a datagram and may be lost: a lease that is not confirmed
-/// lapses. With half of them lost the customer gets 54 in 100 of what another one does (seed 0); with
-/// leases that never lapse 37 in 100.
+/// lapses. With half of them lost the customer gets 54 in 100 of what another one does (seed 0);
+/// with leases that never lapse 37 in 100.
 #[test]
 fn a_customer_whose_router_is_late_gets_its_share_though_words_are_lost() {
     for seed in 0..4 {
--- a/crates/path/src/state/tests/suspects.rs
+++ b/crates/path/src/state/tests/suspects.rs
@@ -86,6 +86,6 @@
     fleet.owner.returned(Peer(1), &returned, NOW);
     fleet.owner.withdraw(Peer(1), 2, NOW);
     assert_eq!(fleet.owner.copies.target(content), Some(tag));
-    fleet.owner.lapse(grants::LEASE_TIMEOUT);
+    fleet.owner.expire_grants(grants::LEASE_TIMEOUT);
     assert_eq!(fleet.owner.copies.target(content), None);
 }
