--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -1,5 +1,5 @@
-//! An owner's decisions under load, driven in virtual time with routers, links and engines of a
-//! few lines each.
+//! Decisions of an owner under load, in virtual time, with simple models of the routers, links and
+//! engines.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -21,34 +21,34 @@
 use crate::settings::{ColdBound, Patience};
 
 mod homes;
-mod refusing;
-mod returns;
-mod spared;
+mod limits;
+mod refusals;
+mod retries;
 mod suspects;
 
-/// Engines of the fleet.
+/// Number of engines.
 const ENGINES: u16 = 6;
 
-/// Prompt tokens that one engine reads in a second.
-const RATE: f64 = 20_000.0;
+/// Prefill rate of one engine, in tokens per second.
+const PREFILL_RATE: f64 = 20_000.0;
 
-/// Tokens of each prompt.
-const PROMPT: u64 = 1_000;
+/// Length of each prompt, in tokens.
+const PROMPT_TOKENS: u64 = 1_000;
 
-/// Time to the first token that callers expect; they are refused after 0.06 of it.
+/// Objective for the time to the first token; requests are refused after 0.06 of it.
 const OBJECTIVE: Duration = Duration::from_millis(300);
 
-/// How long an answer takes after its first token.
-const ANSWERING: Duration = Duration::from_millis(500);
+/// Time from the first token of an answer to its end.
+const GENERATION_TIME: Duration = Duration::from_millis(500);
 
-/// One way between two routers.
-const LINK: Duration = Duration::from_millis(1);
+/// One-way delay between two routers.
+const LINK_DELAY: Duration = Duration::from_millis(1);
 
-/// How often routers tell which places they use.
-const REPORTS: Duration = Duration::from_millis(300);
+/// Interval of routers' load reports, which confirm the places that they use.
+const REPORT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Shortest time between two passes over the queue.
-const PASS_PAUSE: Duration = Duration::from_millis(3);
+/// Minimum interval between two passes over the queue.
+const MIN_PASS_INTERVAL: Duration = Duration::from_millis(3);
 
 fn settings() -> Settings {
     let address = ([127, 0, 0, 1], 1).into();
@@ -100,7 +100,7 @@
             body_bytes: 1,
             head_timeout: Duration::from_secs(1),
             idle_timeout: Duration::from_secs(1),
-            tokens_per_second: RATE * f64::from(ENGINES),
+            tokens_per_second: PREFILL_RATE * f64::from(ENGINES),
         },
     })
 }
@@ -119,35 +119,35 @@
     (0..ENGINES).map(target).collect()
 }
 
-/// A customer's load.
+/// Load of one customer.
 #[derive(Clone, Copy, Debug)]
 struct Load {
-    /// Requests a second.
+    /// Requests per second.
     rate: u64,
-    /// Router to which they come; each to another one if none.
+    /// Router that receives them; a random one for each request if none.
     router: Option<u64>,
 }
 
-/// How a router's time between a question and its answer is spread.
+/// Range of the time from a router's request to its reading of the answer, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct Delay {
-    least: u64,
-    most: u64,
+    min: u64,
+    max: u64,
 }
 
-/// Answers of an owner are read at once.
-const PROMPT_ROUTER: Delay = Delay { least: 2, most: 3 };
+/// A router that reads the owner's answers at once.
+const FAST_ROUTER: Delay = Delay { min: 2, max: 3 };
 
-/// A router whose event loop is late.
-const LATE_ROUTER: Delay = Delay { least: 5, most: 60 };
+/// A router that is overloaded and reads the owner's answers late.
+const SLOW_ROUTER: Delay = Delay { min: 5, max: 60 };
 
-/// Number of the router that is late.
-const LATE: u64 = 0;
+/// Number of the slow router.
+const SLOW: u64 = 0;
 
-/// Routers of the fleet beside the owner.
+/// Number of routers besides the owner.
 const ROUTERS: u64 = 8;
 
-/// A request at the router to which it came.
+/// A request at the router that received it.
 #[derive(Clone, Copy, Debug)]
 struct Request {
     customer: usize,
@@ -157,49 +157,48 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// A customer's next request comes to a router.
-    Comes(usize),
-    /// It is put to the owner.
-    Put(u64),
-    /// Its router refuses it.
-    GivenUp(u64),
-    /// Its router reads that it has a place.
-    Granted(Grant),
-    /// The owner hears that it does not wait.
-    Withdrawn(u64),
-    /// An engine has read a prompt.
-    Read(u64, Grant),
-    /// The owner hears that a place is free.
-    Returned(u64, Return),
-    /// The owner goes through its queue.
+    /// The next request of a customer arrives at a router.
+    Arrival(usize),
+    /// The owner receives a request.
+    Request(u64),
+    /// The router of a request stops waiting for a place and refuses it.
+    Timeout(u64),
+    /// The router of a request reads its grant.
+    Grant(Grant),
+    /// The owner receives the withdrawal of a request.
+    Withdrawal(u64),
+    /// An engine has prefilled a prompt.
+    PrefillEnd(u64, Grant),
+    /// The owner receives the return of a place.
+    Return(u64, Return),
+    /// The owner makes a pass over its queue.
     Pass,
-    /// Routers tell what they have and which places they use; the owner ends leases that are not
-    /// confirmed.
+    /// Routers report their load and confirm places; the owner expires unconfirmed leases.
     Report,
 }
 
-/// An owner, the routers that ask it, and the engines that they use.
+/// An owner, the routers that request places from it, and the engines.
 struct Fleet {
     settings: Settings,
     owner: State,
     loads: Vec<Load>,
     requests: HashMap<u64, Request>,
-    /// When each engine has read all that it was sent.
-    read_until: HashMap<Tag, Duration>,
-    /// Tokens of prompts that engines have read, by customer and second.
-    begun: BTreeMap<(usize, u64), u64>,
+    /// End of the prefill queue of each engine.
+    prefill_until: HashMap<Tag, Duration>,
+    /// Prompt tokens prefilled, by customer and second.
+    prefilled: BTreeMap<(usize, u64), u64>,
     events: BTreeMap<(Duration, u64), Event>,
     random: Pcg64Mcg,
     next: u64,
     pass_at: Duration,
-    /// What each router has at the engines.
+    /// Load of each router at the engines.
     usages: Vec<Usage>,
-    /// Places that routers use and have not told of.
-    accepted: Vec<u64>,
-    /// Part of the word that a place is not used that is lost, as of all datagrams.
-    lost: f64,
-    /// Whether routers take first tries for those of callers that come back.
-    mistaken: bool,
+    /// Places that routers use and have not confirmed.
+    unconfirmed: Vec<u64>,
+    /// Ratio of withdrawals that are lost, 0 to 1.
+    loss: f64,
+    /// Whether routers mark first attempts as retries.
+    mark_as_retries: bool,
 }
 
 impl Fleet {
@@ -213,31 +212,31 @@
             owner,
             loads: loads.to_vec(),
             requests: HashMap::new(),
-            read_until: HashMap::new(),
-            begun: BTreeMap::new(),
+            prefill_until: HashMap::new(),
+            prefilled: BTreeMap::new(),
             events: BTreeMap::new(),
             random: Pcg64Mcg::seed_from_u64(seed),
             next: 0,
             pass_at: Duration::ZERO,
             usages: vec![Usage::new(); usize::try_from(ROUTERS).expect("a few")],
-            accepted: Vec::new(),
-            lost: 0.0,
-            mistaken: false,
+            unconfirmed: Vec::new(),
+            loss: 0.0,
+            mark_as_retries: false,
         };
-        fleet.plan(REPORTS, Event::Report);
+        fleet.schedule(REPORT_INTERVAL, Event::Report);
         for customer in 0..loads.len() {
-            fleet.plan(Duration::ZERO, Event::Comes(customer));
+            fleet.schedule(Duration::ZERO, Event::Arrival(customer));
         }
         fleet
     }
 
-    /// With such a part of datagrams lost.
-    fn with_lost(mut self, lost: f64) -> Self {
-        self.lost = lost;
+    /// Sets the ratio of withdrawals that are lost.
+    fn with_loss(mut self, loss: f64) -> Self {
+        self.loss = loss;
         self
     }
 
-    fn plan(&mut self, at: Duration, event: Event) {
+    fn schedule(&mut self, at: Duration, event: Event) {
         self.next += 1;
         self.events.insert((at, self.next), event);
     }
@@ -247,28 +246,28 @@
             if now >= until {
                 break;
             }
-            self.take(event, now);
+            self.handle(event, now);
         }
         self
     }
 
-    fn take(&mut self, event: Event, now: Duration) {
+    fn handle(&mut self, event: Event, now: Duration) {
         match event {
-            Event::Comes(customer) => self.comes(customer, now),
-            Event::Put(number) => self.put(number, now),
-            Event::GivenUp(number) => self.given_up(number, now),
-            Event::Granted(grant) => self.granted(grant, now),
-            Event::Withdrawn(_) if self.random.random_bool(self.lost) => {}
-            Event::Withdrawn(number) => {
+            Event::Arrival(customer) => self.arrive(customer, now),
+            Event::Request(number) => self.request(number, now),
+            Event::Timeout(number) => self.time_out(number, now),
+            Event::Grant(grant) => self.receive_grant(grant, now),
+            Event::Withdrawal(_) if self.random.random_bool(self.loss) => {}
+            Event::Withdrawal(number) => {
                 let peer = self.peer(number);
                 self.owner.withdraw(peer, number, now);
             }
-            Event::Read(number, grant) => self.read(number, grant, now),
-            Event::Returned(number, returned) => {
+            Event::PrefillEnd(number, grant) => self.end_prefill(number, grant, now),
+            Event::Return(number, returned) => {
                 self.usage(number).end(returned.tag);
                 let peer = self.peer(number);
                 self.owner.returned(peer, &returned, now);
-                self.room_came(now);
+                self.schedule_pass(now);
             }
             Event::Pass => self.pass(now),
             Event::Report => self.report(now),
@@ -284,11 +283,11 @@
         &mut self.usages[usize::try_from(router).expect("a few")]
     }
 
-    fn comes(&mut self, customer: usize, now: Duration) {
+    fn arrive(&mut self, customer: usize, now: Duration) {
         let load = self.loads[customer];
         let mean = 1_000_000 / load.rate;
         let pause = Duration::from_micros(self.random.random_range(0..2 * mean));
-        self.plan(now + pause, Event::Comes(customer));
+        self.schedule(now + pause, Event::Arrival(customer));
         let router = load.router;
         let router = router.unwrap_or_else(|| self.random.random_range(1..ROUTERS));
         let number = self.next + 1;
@@ -298,64 +297,67 @@
             waits: true,
         };
         self.requests.insert(number, request);
-        self.plan(now + LINK, Event::Put(number));
-        let patience = OBJECTIVE.mul_f64(self.settings.patience.first);
-        self.plan(now + patience, Event::GivenUp(number));
+        self.schedule(now + LINK_DELAY, Event::Request(number));
+        let timeout = OBJECTIVE.mul_f64(self.settings.patience.first);
+        self.schedule(now + timeout, Event::Timeout(number));
     }
 
-    fn put(&mut self, number: u64, now: Duration) {
+    fn request(&mut self, number: u64, now: Duration) {
         let request = self.requests[&number];
-        let arrived = now.saturating_sub(LINK);
+        let arrived = now.saturating_sub(LINK_DELAY);
         let draw = self.random.random();
-        let wish = Wish {
-            returning: self.mistaken,
-            ..wish(request.customer, arrived, draw)
+        let place_request = Wish {
+            returning: self.mark_as_retries,
+            ..place_request(request.customer, arrived, draw)
         };
         let asker = asker(request.router, number);
-        let answer = self.owner.answer(&self.settings, asker, wish, now);
+        let answer = self.owner.answer(&self.settings, asker, place_request, now);
         if let Content::Grant(grant) = answer {
-            self.answered(grant, now);
+            self.send_grant(grant, now);
         }
     }
 
-    fn answered(&mut self, grant: Grant, now: Duration) {
+    fn send_grant(&mut self, grant: Grant, now: Duration) {
         let router = self.requests[&grant.number].router;
-        let delay = if router == LATE {
-            LATE_ROUTER
+        let delay = if router == SLOW {
+            SLOW_ROUTER
         } else {
-            PROMPT_ROUTER
+            FAST_ROUTER
         };
-        let delay = self.random.random_range(delay.least..=delay.most);
-        let delay = Duration::from_millis(delay).saturating_sub(LINK);
-        self.plan(now + delay, Event::Granted(grant));
+        let delay = self.random.random_range(delay.min..=delay.max);
+        let delay = Duration::from_millis(delay).saturating_sub(LINK_DELAY);
+        self.schedule(now + delay, Event::Grant(grant));
     }
 
-    fn given_up(&mut self, number: u64, now: Duration) {
+    fn time_out(&mut self, number: u64, now: Duration) {
         if let Some(request) = self.requests.get_mut(&number)
             && std::mem::replace(&mut request.waits, false)
         {
-            self.plan(now + LINK, Event::Withdrawn(number));
+            self.schedule(now + LINK_DELAY, Event::Withdrawal(number));
         }
     }
 
-    fn granted(&mut self, grant: Grant, now: Duration) {
+    fn receive_grant(&mut self, grant: Grant, now: Duration) {
         let number = grant.number;
-        let request = self.requests.get_mut(&number).expect("it was put");
+        let request = self
+            .requests
+            .get_mut(&number)
+            .expect("the request is known");
         if !std::mem::replace(&mut request.waits, false) {
-            self.plan(now + LINK, Event::Withdrawn(number));
+            self.schedule(now + LINK_DELAY, Event::Withdrawal(number));
             return;
         }
-        self.accepted.push(number);
+        self.unconfirmed.push(number);
         self.usage(number).begin(grant.tag, grant.unread);
-        let free = self.read_until.entry(grant.tag).or_default();
-        *free = now.max(*free) + Duration::from_secs_f64(to_f64(grant.unread) / RATE);
-        let read = *free;
-        self.plan(read, Event::Read(number, grant));
+        let until = self.prefill_until.entry(grant.tag).or_default();
+        *until = now.max(*until) + Duration::from_secs_f64(to_f64(grant.unread) / PREFILL_RATE);
+        let end = *until;
+        self.schedule(end, Event::PrefillEnd(number, grant));
     }
 
-    fn read(&mut self, number: u64, grant: Grant, now: Duration) {
+    fn end_prefill(&mut self, number: u64, grant: Grant, now: Duration) {
         let customer = self.requests[&number].customer;
-        *self.begun.entry((customer, now.as_secs())).or_default() += PROMPT;
+        *self.prefilled.entry((customer, now.as_secs())).or_default() += PROMPT_TOKENS;
         self.usage(number).end_prefill(grant.tag, grant.unread);
         let peer = self.peer(number);
         self.owner.read_for(peer, grant.tag, grant.unread, now);
@@ -367,19 +369,19 @@
             content: None,
             refusal: None,
         };
-        self.plan(now + ANSWERING, Event::Returned(number, returned));
-        self.room_came(now);
+        self.schedule(now + GENERATION_TIME, Event::Return(number, returned));
+        self.schedule_pass(now);
     }
 
-    fn room_came(&mut self, now: Duration) {
+    fn schedule_pass(&mut self, now: Duration) {
         if self.pass_at <= now {
-            self.pass_at = now + PASS_PAUSE;
-            self.plan(self.pass_at, Event::Pass);
+            self.pass_at = now + MIN_PASS_INTERVAL;
+            self.schedule(self.pass_at, Event::Pass);
         }
     }
 
     fn report(&mut self, now: Duration) {
-        for number in std::mem::take(&mut self.accepted) {
+        for number in std::mem::take(&mut self.unconfirmed) {
             let peer = self.peer(number);
             self.owner.confirm(peer, &[number], now);
         }
@@ -387,31 +389,32 @@
             self.owner.usage.apply_report(peer, usage.own_loads(), now);
         }
         self.owner.expire_grants(now);
-        self.room_came(now);
-        self.plan(now + REPORTS, Event::Report);
+        self.schedule_pass(now);
+        self.schedule(now + REPORT_INTERVAL, Event::Report);
     }
 
     fn pass(&mut self, now: Duration) {
         for (_, grant) in self.owner.pass(&self.settings, now).peers {
-            self.answered(grant, now);
+            self.send_grant(grant, now);
         }
     }
 
-    /// The first customer gets at least half of what the best served one does.
+    /// Asserts that the first customer is served at least half as many tokens as the best served of
+    /// the two others with a high load.
     fn expect_share(&self, seed: u64) {
         let served = self.served(0, 6, 12);
         let best = (1..3).map(|it| self.served(it, 6, 12)).max();
         let best = best.unwrap_or_default();
         assert!(
             served * 2 >= best && best > 0,
-            "seed {seed}: {served} tokens, another customer {best}"
+            "seed {seed}: {served} tokens, another customer got {best}"
         );
     }
 
-    /// Tokens that a customer was served from one second to another.
+    /// Tokens prefilled for a customer in a range of seconds.
     fn served(&self, customer: usize, from: u64, to: u64) -> u64 {
         (from..to)
-            .filter_map(|second| self.begun.get(&(customer, second)))
+            .filter_map(|second| self.prefilled.get(&(customer, second)))
             .sum()
     }
 }
@@ -420,14 +423,14 @@
     CustomerTag(u32::try_from(customer).expect("a few customers"))
 }
 
-/// A request that arrived at a router.
-fn wish(customer: usize, arrived: Duration, draw: u64) -> Wish {
+/// The request for a place of a customer's request that arrived at a router.
+fn place_request(customer: usize, arrived: Duration, draw: u64) -> Wish {
     let prompt = Prompt {
-        tokens: PROMPT,
+        tokens: PROMPT_TOKENS,
         answer_tokens: 0,
         parts: vec![Part {
             id: 0,
-            tokens: PROMPT,
+            tokens: PROMPT_TOKENS,
         }],
     };
     Wish {
@@ -442,7 +445,7 @@
         content: None,
         prompt: Some(Rc::new(prompt)),
         customer: Some(tag(customer)),
-        cost: PROMPT,
+        cost: PROMPT_TOKENS,
         objective: OBJECTIVE,
         arrived,
         returning: false,
@@ -468,106 +471,108 @@
     tokens as f64
 }
 
-/// Three customers ask for more than there is, eight ask for little. All requests of the first
-/// come to one router.
-fn flood(router: u64) -> Vec<Load> {
-    let spread = |rate| Load { rate, router: None };
+/// Load of three customers that together exceed the capacity, and of eight with little load. All
+/// requests of the first customer arrive at one router.
+fn overload(router: u64) -> Vec<Load> {
+    let spread_load = |rate| Load { rate, router: None };
     let first = Load {
         rate: 300,
         router: Some(router),
     };
-    let mut loads = vec![first, spread(100), spread(100)];
-    loads.extend([spread(4); 8]);
+    let mut loads = vec![first, spread_load(100), spread_load(100)];
+    loads.extend([spread_load(4); 8]);
     loads
 }
 
-/// Users saw a customer that asked for more than all others wait for six seconds, in each of them
-/// with requests refused, and get less than half of what another one got; shares promise it half.
+/// Guards against charges for unused places that are not refunded: a customer with the highest
+/// demand then had requests refused for six seconds and got less than half of the tokens of another
+/// one, although its share entitles it to at least half.
 ///
-/// Its requests came to two routers that were busy with them and read the owner's answers late, by
-/// 57 and 265 ms in the mean, where a request waits 18 to 36 ms. So most places came after their
-/// requests had been refused. They were given back, but not what the customer had been charged for
-/// them: the owner then held it to be over its share and refused it as such, while it had had less
-/// than half of it.
-///
-/// Evidence: of what it was charged in the six seconds, 41 in 100 was sent to engines and 59 in 100
-/// was in places that were not used. Its account stood at 1.25 times its share, and two in three of
-/// its refusals were for that. Here it got 13 in 100 of what another one did (seed 0); with the
-/// charges taken back 96 in 100.
+/// Its requests arrived at two overloaded routers, which read the owner's answers 57 and 265 ms
+/// late on average, while requests wait 18 to 36 ms. Most grants came after their requests had been
+/// refused, so the places were returned but the charges were kept. 41 % of the tokens charged in
+/// these six seconds were sent to engines and 59 % were for unused places. The account reached 1.25
+/// times the share, for which two in three of the refusals were made. In this test, the customer
+/// got 13 % of the tokens of another one without refunds (seed 0), and 96 % with them.
 #[test]
-fn a_customer_whose_router_is_late_gets_its_share() {
+fn a_customer_with_a_slow_router_gets_its_share() {
     for seed in 0..4 {
-        let fleet = Fleet::new(&flood(LATE), seed).run(Duration::from_secs(12));
+        let fleet = Fleet::new(&overload(SLOW), seed).run(Duration::from_secs(12));
         fleet.expect_share(seed);
     }
 }
 
-/// The word that a place is not used is a datagram and may be lost: a lease that is not confirmed
-/// lapses. With half of them lost the customer gets 54 in 100 of what another one does (seed 0);
-/// with leases that never lapse 37 in 100.
+/// A withdrawal is a datagram that may be lost, so a lease that is not confirmed expires. With half
+/// of the withdrawals lost the customer gets 54 % of the tokens of another one (seed 0), and 37 %
+/// if leases do not expire.
 #[test]
-fn a_customer_whose_router_is_late_gets_its_share_though_words_are_lost() {
+fn a_customer_with_a_slow_router_gets_its_share_although_withdrawals_are_lost() {
     for seed in 0..4 {
-        let fleet = Fleet::new(&flood(LATE), seed).with_lost(0.5);
+        let fleet = Fleet::new(&overload(SLOW), seed).with_loss(0.5);
         let fleet = fleet.run(Duration::from_secs(12));
         fleet.expect_share(seed);
     }
 }
 
-/// A prompt whose first part others share.
+/// A prompt whose first part is shared with other prompts.
 fn shared_prompt() -> Prompt {
     let part = |id| Part { id, tokens: 500 };
     Prompt {
-        tokens: PROMPT,
+        tokens: PROMPT_TOKENS,
         answer_tokens: 0,
         parts: vec![part(1), part(2)],
     }
 }
 
-/// What a place that is not used leaves behind beside its charge: the next request with the same
-/// prefix was sent to an engine that had never read it, as if that were already there.
+/// Guards against prefixes of unused places that stay recorded: the next request with the same
+/// prefix was sent to an engine that had never prefilled it, as if it were cached there.
 #[test]
-fn an_engine_is_taken_to_keep_a_prefix_only_while_a_place_there_may_be_used() {
+fn a_prefix_is_assumed_cached_only_while_a_place_may_be_used() {
     let mut fleet = Fleet::new(&[], 0);
     let prefix = shared_prompt().prefix().expect("a part is shared");
-    let give = |fleet: &mut Fleet, number| {
-        let wish = Wish {
+    let grant = |fleet: &mut Fleet, number| {
+        let place_request = Wish {
             content: None,
             prompt: Some(Rc::new(shared_prompt())),
-            ..wish(0, Duration::ZERO, 0)
+            ..place_request(0, Duration::ZERO, 0)
         };
         let asker = asker(1, number);
         let settings = fleet.settings.clone();
-        let answer = fleet.owner.answer(&settings, asker, wish, Duration::ZERO);
+        let answer = fleet
+            .owner
+            .answer(&settings, asker, place_request, Duration::ZERO);
         let Content::Grant(grant) = answer else {
-            panic!("the engines are idle: {answer:?}");
+            panic!("idle engines granted no place: {answer:?}");
         };
         grant.tag
     };
     let now = Duration::from_millis(10);
-    let keeps = |fleet: &Fleet, tag| {
-        let kept = Duration::from_secs(5);
-        fleet.owner.memory.is_cached(prefix, tag, kept, now)
+    let is_cached = |fleet: &Fleet, tag| {
+        let retention = Duration::from_secs(5);
+        fleet.owner.memory.is_cached(prefix, tag, retention, now)
     };
-    let tags = [1, 2, 3].map(|number| give(&mut fleet, number));
-    assert!(tags.iter().all(|it| *it == tags[0]), "its home");
+    let tags = [1, 2, 3].map(|number| grant(&mut fleet, number));
+    assert!(
+        tags.iter().all(|it| *it == tags[0]),
+        "all at the home engine"
+    );
     fleet.owner.withdraw(Peer(1), 1, now);
-    assert!(keeps(&fleet, tags[0]), "two may be used");
+    assert!(is_cached(&fleet, tags[0]), "two places may still be used");
     fleet.owner.withdraw(Peer(1), 3, now);
     fleet.owner.withdraw(Peer(1), 2, now);
-    assert!(!keeps(&fleet, tags[0]));
-    let tag = give(&mut fleet, 4);
+    assert!(!is_cached(&fleet, tags[0]));
+    let tag = grant(&mut fleet, 4);
     fleet.owner.confirm(Peer(1), &[4], now);
     fleet.owner.withdraw(Peer(1), 4, now);
-    assert!(keeps(&fleet, tag), "it was sent there");
+    assert!(is_cached(&fleet, tag), "the prompt was sent there");
 }
 
-/// The model itself: with the same load at a router that is not late, all three get as much.
+/// Checks the model: with the same load at a fast router, all three customers get about the same.
 #[test]
-fn a_customer_whose_router_is_not_late_gets_its_share() {
-    let fleet = Fleet::new(&flood(1), 0).run(Duration::from_secs(12));
+fn a_customer_with_a_fast_router_gets_its_share() {
+    let fleet = Fleet::new(&overload(1), 0).run(Duration::from_secs(12));
     let served: Vec<_> = (0..3).map(|it| fleet.served(it, 6, 12)).collect();
-    let least = served.iter().min().copied().unwrap_or_default();
-    let most = served.iter().max().copied().unwrap_or_default();
-    assert!(least * 5 >= most * 4, "{served:?}");
+    let min = served.iter().min().copied().unwrap_or_default();
+    let max = served.iter().max().copied().unwrap_or_default();
+    assert!(min * 5 >= max * 4, "{served:?}");
 }
--- a/crates/path/src/state/tests/homes.rs
+++ b/crates/path/src/state/tests/homes.rs
@@ -1,4 +1,4 @@
-//! Where requests of drawn bindings go, in drawn deployments of some regions.
+//! Cells of requests with random region restrictions, in random deployments over several regions.
 
 use dunlinward_dispatch::region::{Region, Regions};
 
@@ -14,21 +14,22 @@
     ("e", "three"),
 ];
 
-/// Names that bindings draw from, one of which no region has.
-const NAMES: [&str; 4] = ["one", "two", "three", "nowhere"];
+/// Names in region restrictions, one of which is not a region.
+const REGION_NAMES: [&str; 4] = ["one", "two", "three", "nowhere"];
 
-fn drawn(random: &mut Pcg64Mcg) -> Vec<Arc<str>> {
-    let names = NAMES.iter().filter(|_| random.random_bool(0.4));
+/// A random restriction; empty if all regions are allowed.
+fn random_restriction(random: &mut Pcg64Mcg) -> Vec<Arc<str>> {
+    let names = REGION_NAMES.iter().filter(|_| random.random_bool(0.4));
     names.map(|it| (*it).into()).collect()
 }
 
-/// What a binding allows, read name by name.
-fn naive(binding: &[Arc<str>], region: &str) -> bool {
-    binding.is_empty() || binding.iter().any(|it| it.as_ref() == region)
+/// Whether a restriction allows a region, by comparison of names.
+fn names_region(restriction: &[Arc<str>], region: &str) -> bool {
+    restriction.is_empty() || restriction.iter().any(|it| it.as_ref() == region)
 }
 
 #[test]
-fn no_request_goes_to_a_region_that_its_route_or_customer_is_not_bound_to() {
+fn requests_stay_in_the_regions_allowed_by_their_route_and_customer() {
     let mut random = Pcg64Mcg::seed_from_u64(3);
     let mut elsewhere = 0;
     for _ in 0..3_000 {
@@ -47,23 +48,30 @@
             target.domain = DOMAINS[random.random_range(0..DOMAINS.len())].0.into();
         }
         state.registry.apply_list(listed.clone(), START);
-        let (route, customer) = (drawn(&mut random), drawn(&mut random));
+        let (route, customer) = (
+            random_restriction(&mut random),
+            random_restriction(&mut random),
+        );
         let allowed = regions.allowed(&route).and(regions.allowed(&customer));
-        let admits = |region: &str| naive(&route, region) && naive(&customer, region);
+        let admits = |region: &str| names_region(&route, region) && names_region(&customer, region);
         let region_of = |target: &Target| {
             let found = DOMAINS.iter().find(|it| it.0 == target.domain.as_ref());
             found.unwrap().1
         };
         let prefix = Prefix(random.random());
         let home = state.home("pool", prefix, allowed, START);
-        let served = listed.iter().any(|it| admits(region_of(it)));
-        assert_eq!(home.is_some(), served);
+        let has_target = listed.iter().any(|it| admits(region_of(it)));
+        assert_eq!(home.is_some(), has_target);
         let Some(home) = home else {
             continue;
         };
-        let near = listed.iter().any(|it| region_of(it) == own_region);
-        if near && admits(own_region) {
-            assert_eq!(home.region, regions.of(own), "its own region comes first");
+        let own_has_target = listed.iter().any(|it| region_of(it) == own_region);
+        if own_has_target && admits(own_region) {
+            assert_eq!(
+                home.region,
+                regions.of(own),
+                "the router's own region comes first"
+            );
         }
         let other = state.home_elsewhere(home, prefix, None, allowed, START);
         elsewhere += usize::from(other.is_some());
@@ -73,7 +81,7 @@
                 assert!(admits(region_of(target)), "{route:?} {customer:?}");
             }
         }
-        // The last look before a request is sent knows the same.
+        // The check before a request is sent applies the same restrictions.
         for target in &listed {
             let barred = state.barred(target, allowed, START).is_some();
             assert_eq!(barred, !admits(region_of(target)));
@@ -83,11 +91,11 @@
 }
 
 #[test]
-fn a_domain_of_which_no_region_was_told_serves_only_what_is_not_bound() {
+fn a_domain_without_a_configured_region_serves_only_unrestricted_requests() {
     let regions = Regions::new([("a".into(), "one".into())]);
-    let bound = regions.allowed(&["one".into()]);
-    assert!(bound.admits(regions.of("a")));
-    assert!(!bound.admits(regions.of("z")));
+    let restricted = regions.allowed(&["one".into()]);
+    assert!(restricted.admits(regions.of("a")));
+    assert!(!restricted.admits(regions.of("z")));
     assert!(Constraint::ANY.admits(regions.of("z")));
     assert_eq!(Regions::default().of("z"), Region::default());
 }
--- a/crates/path/src/state/tests/suspects.rs
+++ b/crates/path/src/state/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Where an owner places contents under which targets have ended.
+//! Placement of contents during whose runs targets terminated.
 
 use dunlinward_dispatch::content::{ContentTag, Digest};
 use dunlinward_dispatch::grants;
@@ -8,14 +8,15 @@
 
 const NOW: Duration = Duration::ZERO;
 
-/// An owner of idle engines that has heard of so many targets that ended under each content.
+/// An owner of idle engines with pairs of a content and the number of targets that terminated
+/// during its runs.
 fn owner(ends: &[(u128, u32)]) -> Fleet {
     let mut fleet = Fleet::new(&[], 0);
     for (content, ends) in ends {
         for target in 0..*ends {
             let finding = Finding {
                 content: Digest(*content),
-                // Of each content other targets, none of which runs any more.
+                // Different targets for each content, all of which have terminated.
                 target: Tag(1_000 * u32::try_from(*content).expect("small") + target),
                 resolution: Resolution::Ended,
             };
@@ -25,33 +26,42 @@
     fleet
 }
 
-/// The target that a content is given, if it is given one.
+/// Requests a place for a content; returns its target, if one was granted.
 fn place(fleet: &mut Fleet, content: Option<u64>, number: u64) -> Option<Tag> {
-    let wish = Wish {
+    let place_request = Wish {
         content: content.map(ContentTag),
         prompt: Some(Rc::new(shared_prompt())),
-        ..wish(0, NOW, number)
+        ..place_request(0, NOW, number)
     };
     let settings = fleet.settings.clone();
-    match fleet.owner.answer(&settings, asker(1, number), wish, NOW) {
+    match fleet
+        .owner
+        .answer(&settings, asker(1, number), place_request, NOW)
+    {
         Content::Grant(grant) => Some(grant.tag),
         _ => None,
     }
 }
 
-/// The prompt's prefix draws all of these to one engine.
+/// All prompts have the same prefix, so contents that are not suspected run at its home engine.
 #[test]
-fn suspects_run_apart_from_each_other_and_where_fewest_run() {
+fn suspects_run_on_separate_targets_with_the_fewest_requests() {
     let mut fleet = owner(&[(1, 2), (2, 2)]);
-    let home = place(&mut fleet, None, 100).expect("there is room");
+    let home = place(&mut fleet, None, 100).expect("a place is free");
     assert_eq!(place(&mut fleet, Some(3), 101), Some(home));
-    let first = place(&mut fleet, Some(1), 1).expect("there is room");
-    let second = place(&mut fleet, Some(2), 2).expect("there is room");
-    assert!(first != home && second != home, "two run there");
+    let first = place(&mut fleet, Some(1), 1).expect("a place is free");
+    let second = place(&mut fleet, Some(2), 2).expect("a place is free");
+    assert!(
+        first != home && second != home,
+        "the home engine already runs two requests"
+    );
     assert_ne!(first, second);
-    let again = place(&mut fleet, Some(1), 3).expect("there is room");
-    assert_eq!(again, first, "it puts no other target at risk");
-    // Both of the others are free of suspects; only these two are not.
+    let again = place(&mut fleet, Some(1), 3).expect("a place is free");
+    assert_eq!(
+        again, first,
+        "a second run must put no other target at risk"
+    );
+    // The target of the first suspect runs no other content.
     assert_eq!(
         fleet.owner.copies.contents_on(first).collect::<Vec<_>>(),
         [ContentTag(1)]
@@ -59,7 +69,7 @@
 }
 
 #[test]
-fn what_has_ended_three_targets_gets_no_place_and_others_do() {
+fn a_content_that_terminated_three_targets_gets_no_place_and_others_do() {
     let mut fleet = owner(&[(1, 3), (2, 2)]);
     assert_eq!(place(&mut fleet, Some(1), 1), None);
     assert!(place(&mut fleet, Some(2), 2).is_some());
@@ -67,13 +77,17 @@
 }
 
 #[test]
-fn the_end_of_a_run_is_known_from_its_return_its_withdrawal_or_its_lapse() {
+fn a_run_ends_with_its_return_its_withdrawal_or_the_expiry_of_its_lease() {
     let mut fleet = owner(&[]);
     let content = ContentTag(5);
     for number in 1..=3 {
-        place(&mut fleet, Some(content.0), number).expect("there is room");
+        place(&mut fleet, Some(content.0), number).expect("a place is free");
     }
-    let tag = fleet.owner.copies.target(content).expect("it runs");
+    let tag = fleet
+        .owner
+        .copies
+        .target(content)
+        .expect("the content runs");
     let returned = Return {
         tag,
         unread: 0,
