--- a/crates/path/src/state/homes.rs
+++ b/crates/path/src/state/homes.rs
@@ -45,12 +45,9 @@
         let regions = self.regions(service, prefix, allowed);
         let mut cells = regions
             .iter()
-            .flat_map(|it| self.cells_from_home(service, *it, prefix));
+            .flat_map(|it| self.ranked_cells(service, *it, prefix));
         let available = cells.find(|it| self.opening(*it, now) == Opening::Now);
-        let first = || {
-            self.cells_from_home(service, *regions.first()?, prefix)
-                .next()
-        };
+        let first = || self.ranked_cells(service, *regions.first()?, prefix).next();
         available.or_else(first)
     }
 
@@ -66,7 +63,7 @@
     ) -> Option<Cell> {
         let regions = self.regions(full.service, prefix, allowed);
         let others = regions.iter().filter(|it| **it != full.region);
-        let homes = others.filter_map(|it| self.cells_from_home(full.service, *it, prefix).next());
+        let homes = others.filter_map(|it| self.ranked_cells(full.service, *it, prefix).next());
         let mut available = homes.filter(|it| {
             let full_at = self.full_cells.get(&(*it, customer)).copied();
             let is_full = full_at.is_some_and(|at| now.saturating_sub(at) < FULL_CELL_RETRY_DELAY);
@@ -92,7 +89,7 @@
     }
 
     /// Cells of a region that have targets, in order from the home of a prefix.
-    fn cells_from_home(
+    fn ranked_cells(
         &self,
         service: ServiceTag,
         region: Region,
--- a/crates/path/src/state/placement.rs
+++ b/crates/path/src/state/placement.rs
@@ -241,9 +241,9 @@
             self.caches.record_sent(tag, prompt, now);
         }
         let prefix = wish.prompt.as_deref().and_then(Prompt::prefix);
-        let used = prefix.map(|it| Use::new(it, tag));
-        if let Some(used) = used {
-            self.memory.record_grant(used);
+        let prefix = prefix.map(|it| Use::new(it, tag));
+        if let Some(prefix) = prefix {
+            self.memory.record_grant(prefix);
         }
         if let Some(content) = wish.content {
             self.copies.begin(content, tag, now);
@@ -260,7 +260,7 @@
         let lease = grants::Lease {
             grant,
             charge,
-            prefix: used,
+            prefix,
             content: wish.content,
         };
         self.grants.insert(RequestId { peer, number }, lease, now);
