--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -146,14 +146,14 @@
     pub(crate) tries: Detector,
     /// Contents of requests that got no place in this router's cells, by which the owner detects
     /// retries.
-    pub(crate) returns: Contents,
+    pub(crate) refused_contents: Contents,
     /// Failure detection of routers.
     pub(crate) membership: Membership,
     /// Live routers, and the assignment of cells to them.
     pub(crate) members: Members,
     pub(crate) queue: Vec<Waiter>,
     /// Health of the targets of this router's cells, from the outcomes that all routers report.
-    reported: Health,
+    reported_health: Health,
     /// Places recently granted to other routers.
     pub(crate) grants: Grants,
     /// Contents during whose runs targets terminated.
@@ -205,7 +205,7 @@
             region: settings.regions.of(&settings.domain),
             full_cells: HashMap::new(),
             tries: Detector::new(),
-            returns: Contents::default(),
+            refused_contents: Contents::default(),
             membership: Membership::new(
                 descriptor.clone(),
                 &settings.seeds,
@@ -213,7 +213,7 @@
             ),
             members: Members::new(descriptor).with_regions(settings.regions.clone()),
             queue: Vec::new(),
-            reported: Health::new(),
+            reported_health: Health::new(),
             grants: Grants::new(settings.share_window),
             quarantine: Ledger::new(),
             quarantine_known: false,
@@ -231,7 +231,7 @@
         self.quarantine.prune(now);
         self.peak.record(self.members.count(), now);
         self.copies.prune(now);
-        self.returns.prune(now);
+        self.refused_contents.prune(now);
         self.expire_grants(now);
         let over = self.backoffs.prune(self.peer, now);
         let over = over.into_iter().filter_map(|it| self.registry.get(it));
@@ -390,7 +390,7 @@
         self.memory.remove_target(tag);
         self.caches.remove_target(tag);
         self.health.forget(tag);
-        self.reported.forget(tag);
+        self.reported_health.forget(tag);
         self.backoffs.forget(tag);
     }
 
@@ -420,7 +420,7 @@
     ) -> bool {
         let cell = self.registry.cell_of(target);
         let targets = self.registry.targets_of_cell(cell);
-        record_outcome(&mut self.reported, targets, target, outcome, now)
+        record_outcome(&mut self.reported_health, targets, target, outcome, now)
     }
 
     /// Targets of a cell that are ejected at this router.
--- a/crates/path/src/state/availability.rs
+++ b/crates/path/src/state/availability.rs
@@ -74,7 +74,7 @@
         if known.is_some_and(|it| it.state == Condition::Leaving) {
             return Some(Bar::Leaving);
         }
-        if self.evacuated(target) {
+        if self.is_evacuated(target) {
             return Some(Bar::Evacuated);
         }
         let until = self.backoffs.backoff_until(self.peer, tag, now);
@@ -82,13 +82,13 @@
     }
 
     /// Whether a target's failure domain is evacuated.
-    pub(crate) fn evacuated(&self, target: &Target) -> bool {
+    pub(crate) fn is_evacuated(&self, target: &Target) -> bool {
         self.evacuations.is_evacuated(&target.domain)
     }
 
     /// Whether a target is ready and its failure domain is not evacuated.
-    pub(crate) fn open(&self, target: &Target) -> bool {
-        target.state == Condition::Ready && !self.evacuated(target)
+    pub(crate) fn is_available(&self, target: &Target) -> bool {
+        target.state == Condition::Ready && !self.is_evacuated(target)
     }
 
     /// When the first target of a cell may get requests of this router's clients, by the backoff
@@ -116,7 +116,7 @@
             return Opening::Now;
         }
         let mut first = Opening::Never;
-        for target in targets.iter().filter(|it| self.open(it)) {
+        for target in targets.iter().filter(|it| self.is_available(it)) {
             let Some(until) = backoff(target.tag()) else {
                 return Opening::Now;
             };
--- a/crates/path/src/state/candidates.rs
+++ b/crates/path/src/state/candidates.rs
@@ -30,9 +30,9 @@
         let prefix = prompt.and_then(Prompt::prefix);
         let usable = |target: &&Arc<Target>| {
             let tag = target.tag();
-            self.open(target)
+            self.is_available(target)
                 && self.backoffs.available_at(request.router, tag, now) <= now
-                && !self.reported.is_ejected(tag, now)
+                && !self.reported_health.is_ejected(tag, now)
                 && !request.avoid.contains(&tag)
         };
         let usable = self
--- a/crates/path/src/state/placement.rs
+++ b/crates/path/src/state/placement.rs
@@ -62,7 +62,7 @@
             if !self.waits(&wish)
                 && let Some(choice) = self.choose(settings, &wish, cover, now)
             {
-                return Content::Grant(self.begin_for(asker, &wish, &choice, now));
+                return Content::Grant(self.grant_to_peer(asker, &wish, &choice, now));
             }
             let customer = wish.customer;
             let closed_for = self.opening_for(&wish, now).closed_for(&wish, now);
@@ -83,13 +83,13 @@
     /// Whether a request is a retry of one that got no place here.
     pub(crate) fn returns(&self, wish: &Wish, now: Duration) -> bool {
         wish.content
-            .is_some_and(|it| self.returns.contains(it, now))
+            .is_some_and(|it| self.refused_contents.contains(it, now))
     }
 
     /// Records that a request got no place.
     pub(crate) fn refuse(&mut self, wish: &Wish, now: Duration) {
         if let Some(content) = wish.content {
-            self.returns.insert(content, now);
+            self.refused_contents.insert(content, now);
         }
     }
 
@@ -225,7 +225,7 @@
     }
 
     /// Grants a place to another router's request.
-    pub(crate) fn begin_for(
+    pub(crate) fn grant_to_peer(
         &mut self,
         asker: Asker,
         wish: &Wish,
@@ -308,7 +308,7 @@
                         pass.here.push((reply, place));
                     }
                     Origin::Peer(asker) => {
-                        let grant = self.begin_for(asker, &wish, &choice, now);
+                        let grant = self.grant_to_peer(asker, &wish, &choice, now);
                         pass.peers.push((asker.address, grant));
                     }
                 },
