--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -32,7 +32,7 @@
 use crate::node::Node;
 use crate::relay::Relay;
 use crate::reply::{Content, Reason, Refusal};
-use crate::state::{Claim, State, Wish};
+use crate::state::{Claim, PlaceRequest, State};
 use crate::tell;
 
 /// Sends of one request beyond its route's attempts, where it has not run.
@@ -148,7 +148,7 @@
     job: &Job,
     failed: Option<Tag>,
     until: Duration,
-) -> Result<Wish, Refusal> {
+) -> Result<PlaceRequest, Refusal> {
     let draft = Draft::new(node, job);
     let state = node.state.borrow();
     let home = state.home(&job.service, draft.prefix, job.allowed, node.now());
@@ -163,13 +163,13 @@
     failed: Option<Tag>,
     full: Cell,
     until: Duration,
-) -> Option<Wish> {
+) -> Option<PlaceRequest> {
     let draft = Draft::new(node, job);
     let state = node.state.borrow();
     let (customer, now) = (draft.customer(), node.now());
     let cell = state.home_elsewhere(full, draft.prefix, customer, job.allowed, now)?;
     let wish = draft.wish(&state, cell, failed, until);
-    Some(Wish {
+    Some(PlaceRequest {
         counted: true,
         ..wish
     })
@@ -210,12 +210,12 @@
         customer.filter(|_| self.job.cost > 0).map(share::tag)
     }
 
-    fn wish(self, state: &State, cell: Cell, failed: Option<Tag>, until: Duration) -> Wish {
+    fn wish(self, state: &State, cell: Cell, failed: Option<Tag>, until: Duration) -> PlaceRequest {
         let customer = self.customer();
         let Self { node, job, .. } = self;
         let mut avoid = state.avoided(cell, node.now());
         avoid.extend(failed);
-        Wish {
+        PlaceRequest {
             cell,
             router: node.peer,
             domain: node.settings.domain.clone(),
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -22,7 +22,7 @@
 use crate::node::Node;
 use crate::quarantine;
 use crate::queue::Asker;
-use crate::state::{Claim, Wish};
+use crate::state::{Claim, PlaceRequest};
 
 /// How often the log is told of places that were given and not used.
 const UNUSED_TOLD: Duration = Duration::from_secs(1);
@@ -51,7 +51,7 @@
     let answer = {
         let mut state = node.state.borrow_mut();
         let domain = state.members.domain(address);
-        let wish = Wish {
+        let wish = PlaceRequest {
             cell: ask.cell,
             router: peer,
             domain: domain.unwrap_or_else(|| node.settings.domain.clone()),
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -22,7 +22,7 @@
 use crate::node::Node;
 use crate::pending::Answer;
 use crate::reply::{Reason, Refusal};
-use crate::state::{Bar, Claim, Opening, Wish};
+use crate::state::{Bar, Claim, Opening, PlaceRequest};
 
 /// Part of its objective within which a request must be answered by an owner.
 const ANSWER_PART: f64 = 0.1;
@@ -63,7 +63,7 @@
     /// # Errors
     ///
     /// A refusal if there is no room in time.
-    pub async fn place(self: &Rc<Self>, mut wish: Wish) -> Result<Lease, Refusal> {
+    pub async fn place(self: &Rc<Self>, mut wish: PlaceRequest) -> Result<Lease, Refusal> {
         if let Some(refusal) = self.in_vain(&wish) {
             return Err(refusal);
         }
@@ -89,7 +89,7 @@
 
     /// The refusal of a request for which no target can be had in its time. Callers come back one after
     /// the other once one can.
-    fn in_vain(&self, wish: &Wish) -> Option<Refusal> {
+    fn in_vain(&self, wish: &PlaceRequest) -> Option<Refusal> {
         let now = self.now();
         let opening = self.state.borrow().opening(wish.cell, now);
         match opening {
@@ -109,19 +109,19 @@
 
     /// The owner does not know of a target that must get nothing of this router, so it may not know of
     /// the others either.
-    fn avoid(&self, wish: &mut Wish, tag: Tag) {
+    fn avoid(&self, wish: &mut PlaceRequest, tag: Tag) {
         wish.avoid.push(tag);
         let backed_off = self.state.borrow().backed_off(wish.cell, self.now());
         let more = backed_off.into_iter().filter(|it| *it != tag);
         wish.avoid.extend(more);
     }
 
-    fn owner(&self, wish: &Wish) -> SocketAddr {
+    fn owner(&self, wish: &PlaceRequest) -> SocketAddr {
         let state = self.state.borrow();
         state.members.owner(wish.cell, self.now())
     }
 
-    async fn ask(self: &Rc<Self>, owner: SocketAddr, wish: &Wish) -> Asked {
+    async fn ask(self: &Rc<Self>, owner: SocketAddr, wish: &PlaceRequest) -> Asked {
         let mut question = Question::new(self, owner);
         let way = self.way_to(owner);
         let time = answer_time(wish, way);
@@ -212,14 +212,14 @@
 }
 
 /// How long an owner may take to answer: longer than usual only where the way to it is longer.
-fn answer_time(wish: &Wish, way: RoundTrip) -> Duration {
+fn answer_time(wish: &PlaceRequest, way: RoundTrip) -> Duration {
     let time = wish.objective.mul_f64(ANSWER_PART);
     let time = time.clamp(ANSWER_LEAST, ANSWER_MOST);
     time.max(way.timeout.min(longest_answer(wish)))
 }
 
 /// The longest way to an owner that leaves enough of the objective for the answer itself.
-fn longest_answer(wish: &Wish) -> Duration {
+fn longest_answer(wish: &PlaceRequest) -> Duration {
     wish.objective.mul_f64(WAY_PART)
 }
 
@@ -259,7 +259,7 @@
         }
     }
 
-    fn put(&self, wish: &Wish) {
+    fn put(&self, wish: &PlaceRequest) {
         let now = self.node.now();
         let ask = Request {
             number: self.number,
@@ -293,7 +293,7 @@
         self.answers.try_recv().ok()
     }
 
-    fn accept(mut self, wish: &Wish, grant: Grant) -> Asked {
+    fn accept(mut self, wish: &PlaceRequest, grant: Grant) -> Asked {
         self.accepted = true;
         let now = self.node.now();
         let known = self.node.state.borrow().registry.get(grant.tag).cloned();
--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -18,7 +18,7 @@
 use crate::node::Node;
 use crate::place;
 use crate::reply::{Reason, Refusal};
-use crate::state::Wish;
+use crate::state::PlaceRequest;
 
 /// Shortest time between two passes over the queue.
 const FILL_PAUSE: Duration = Duration::from_millis(3);
@@ -50,7 +50,7 @@
 
 /// A request that waits for room.
 pub(crate) struct Waiter {
-    pub(crate) wish: Wish,
+    pub(crate) wish: PlaceRequest,
     pub(crate) cover: f64,
     pub(crate) origin: Origin,
 }
@@ -67,7 +67,7 @@
 
 impl Node {
     /// Places a request of this router's callers at once, if this router knows of room.
-    fn place_now(self: &Rc<Self>, wish: &Wish) -> Option<Lease> {
+    fn place_now(self: &Rc<Self>, wish: &PlaceRequest) -> Option<Lease> {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let cover = state.cover(wish, now);
@@ -82,7 +82,10 @@
     }
 
     /// Places a request of this router's callers by what this router knows, now or later.
-    pub(crate) async fn place_here(self: &Rc<Self>, mut wish: Wish) -> Result<Lease, Refusal> {
+    pub(crate) async fn place_here(
+        self: &Rc<Self>,
+        mut wish: PlaceRequest,
+    ) -> Result<Lease, Refusal> {
         if self.state.borrow().held(&wish, self.now()) {
             return Err(Refusal::new(Reason::Suspected));
         }
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -66,7 +66,7 @@
 
 /// A request for a place at a target.
 #[derive(Clone, Debug)]
-pub struct Wish {
+pub struct PlaceRequest {
     /// Cell whose targets may run it.
     pub cell: Cell,
     /// Router that received it from its client.
--- a/crates/path/src/state/availability.rs
+++ b/crates/path/src/state/availability.rs
@@ -10,7 +10,7 @@
 use dunlinward_dispatch::region::Constraint;
 use dunlinward_dispatch::target::{State as Condition, Tag, Target};
 
-use super::{State, Wish};
+use super::{PlaceRequest, State};
 
 /// Why a target must not get a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,7 +38,7 @@
 
 impl Opening {
     /// Time until a target is available, if a request stops waiting before.
-    pub(crate) fn closed_for(self, request: &Wish, now: Duration) -> Option<Duration> {
+    pub(crate) fn closed_for(self, request: &PlaceRequest, now: Duration) -> Option<Duration> {
         match self {
             Self::At(at) if at > request.until => Some(at.saturating_sub(now)),
             Self::Now | Self::At(_) | Self::Never => None,
@@ -100,7 +100,7 @@
 
     /// When the first target of a cell may get a request of any router, as known to the cell's
     /// owner.
-    pub(crate) fn opening_for(&self, request: &Wish, now: Duration) -> Opening {
+    pub(crate) fn opening_for(&self, request: &PlaceRequest, now: Duration) -> Opening {
         self.first_available(request.cell, |tag| {
             let available_at = self.backoffs.available_at(request.router, tag, now);
             Some(available_at).filter(|it| *it > now)
--- a/crates/path/src/state/candidates.rs
+++ b/crates/path/src/state/candidates.rs
@@ -8,7 +8,7 @@
 use dunlinward_dispatch::prefix::Prompt;
 use dunlinward_dispatch::target::Target;
 
-use super::{Claim, State, Wish};
+use super::{Claim, PlaceRequest, State};
 use crate::settings::Settings;
 
 /// Time after its start in which a router places no requests on cold targets. Until routers
@@ -22,7 +22,7 @@
     /// that does not report its cache is assumed to cache a prefix.
     pub(super) fn candidates(
         &self,
-        request: &Wish,
+        request: &PlaceRequest,
         retention: Duration,
         now: Duration,
     ) -> Vec<Candidate> {
@@ -61,7 +61,7 @@
     pub(super) fn limit_cold(
         &mut self,
         settings: &Settings,
-        request: &Wish,
+        request: &PlaceRequest,
         service: &str,
         candidates: &mut Vec<Candidate>,
         now: Duration,
--- a/crates/path/src/state/placement.rs
+++ b/crates/path/src/state/placement.rs
@@ -10,7 +10,7 @@
 use dunlinward_dispatch::share::{Charge, Standing};
 use tokio::sync::oneshot;
 
-use super::{Claim, State, Wish};
+use super::{Claim, PlaceRequest, State};
 use crate::lease::{Giver, Lease, Place};
 use crate::queue::{Asker, Origin, Waiter};
 use crate::settings::Settings;
@@ -26,7 +26,7 @@
 
 impl State {
     /// Records the tokens of a request as demand, unless that was done before.
-    pub(crate) fn count(&mut self, wish: &Wish, now: Duration) {
+    pub(crate) fn count(&mut self, wish: &PlaceRequest, now: Duration) {
         if let Some(customer) = wish.customer
             && !wish.counted
         {
@@ -35,7 +35,7 @@
     }
 
     /// Whether requests for the same cell are queued.
-    pub(crate) fn waits(&self, wish: &Wish) -> bool {
+    pub(crate) fn waits(&self, wish: &PlaceRequest) -> bool {
         self.queue.iter().any(|it| it.wish.cell == wish.cell)
     }
 
@@ -44,7 +44,7 @@
         &mut self,
         settings: &Settings,
         asker: Asker,
-        mut wish: Wish,
+        mut wish: PlaceRequest,
         now: Duration,
     ) -> Content {
         let Asker { peer, number, .. } = asker;
@@ -81,13 +81,13 @@
     }
 
     /// Whether a request is a retry of one that got no place here.
-    pub(crate) fn returns(&self, wish: &Wish, now: Duration) -> bool {
+    pub(crate) fn returns(&self, wish: &PlaceRequest, now: Duration) -> bool {
         wish.content
             .is_some_and(|it| self.refused_contents.contains(it, now))
     }
 
     /// Records that a request got no place.
-    pub(crate) fn refuse(&mut self, wish: &Wish, now: Duration) {
+    pub(crate) fn refuse(&mut self, wish: &PlaceRequest, now: Duration) {
         if let Some(content) = wish.content {
             self.refused_contents.insert(content, now);
         }
@@ -109,7 +109,7 @@
     }
 
     /// Ratio of the share of the request's customer to its usage; 1 or more within the share.
-    pub(crate) fn cover(&mut self, wish: &Wish, now: Duration) -> f64 {
+    pub(crate) fn cover(&mut self, wish: &PlaceRequest, now: Duration) -> f64 {
         let Some(customer) = wish.customer else {
             return 1.0;
         };
@@ -120,7 +120,7 @@
     pub(crate) fn choose(
         &mut self,
         settings: &Settings,
-        wish: &Wish,
+        wish: &PlaceRequest,
         share_ratio: f64,
         now: Duration,
     ) -> Option<Choice> {
@@ -167,7 +167,7 @@
     }
 
     /// Ratio of the capacity that a request may use, 0 to 1.
-    fn capacity_share(&self, settings: &Settings, wish: &Wish, share_ratio: f64) -> f64 {
+    fn capacity_share(&self, settings: &Settings, wish: &PlaceRequest, share_ratio: f64) -> f64 {
         let patience = &settings.patience;
         let share = match (share_ratio < 1.0, wish.returning) {
             (false, _) => 1.0,
@@ -192,7 +192,7 @@
     /// Grants a place to a request of this router's clients.
     pub(crate) fn begin(
         &mut self,
-        wish: &Wish,
+        wish: &PlaceRequest,
         choice: Choice,
         own: SocketAddr,
         now: Duration,
@@ -228,7 +228,7 @@
     pub(crate) fn grant_to_peer(
         &mut self,
         asker: Asker,
-        wish: &Wish,
+        wish: &PlaceRequest,
         choice: &Choice,
         now: Duration,
     ) -> Grant {
@@ -267,18 +267,18 @@
         grant
     }
 
-    fn charge(&mut self, wish: &Wish, now: Duration) -> Option<Charge> {
+    fn charge(&mut self, wish: &PlaceRequest, now: Duration) -> Option<Charge> {
         let customer = wish.customer?;
         Some(self.shares.charge(customer, wish.cost, now))
     }
 
-    fn standing(&mut self, wish: &Wish, now: Duration) -> Option<Standing> {
+    fn standing(&mut self, wish: &PlaceRequest, now: Duration) -> Option<Standing> {
         let customer = wish.customer?;
         Some(self.shares.standing(customer, now))
     }
 
     /// Records that this router uses a place that another router granted.
-    pub(crate) fn take_place(&mut self, wish: &Wish, grant: &Grant, now: Duration) {
+    pub(crate) fn take_place(&mut self, wish: &PlaceRequest, grant: &Grant, now: Duration) {
         self.usage.begin(grant.tag, grant.unread);
         if let Some(prefix) = wish.prompt.as_deref().and_then(Prompt::prefix) {
             self.memory.record_sent(prefix, grant.tag, now);
--- a/crates/path/src/state/suspects.rs
+++ b/crates/path/src/state/suspects.rs
@@ -7,11 +7,11 @@
 use dunlinward_dispatch::quarantine::Status;
 use dunlinward_dispatch::target::Target;
 
-use super::{State, Wish};
+use super::{PlaceRequest, State};
 
 impl State {
     /// Whether the content of a request is held or quarantined, so that it must not be sent now.
-    pub(crate) fn held(&self, request: &Wish, now: Duration) -> bool {
+    pub(crate) fn held(&self, request: &PlaceRequest, now: Duration) -> bool {
         let status = request
             .content
             .map(|it| self.quarantine.status_by_tag(it, now));
@@ -24,7 +24,7 @@
     /// the target.
     pub(super) fn isolate_suspect<'a>(
         &self,
-        request: &Wish,
+        request: &PlaceRequest,
         mut targets: Vec<&'a Arc<Target>>,
         now: Duration,
     ) -> Vec<&'a Arc<Target>> {
@@ -51,7 +51,7 @@
     /// requests for it arrive.
     pub(super) fn in_flight_candidate(
         &self,
-        request: &Wish,
+        request: &PlaceRequest,
         candidates: &[Candidate],
     ) -> Option<Candidate> {
         let runs_at = self.copies.target(request.content?)?;
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -306,7 +306,7 @@
         let request = self.requests[&number];
         let arrived = now.saturating_sub(LINK_DELAY);
         let draw = self.random.random();
-        let place_request = Wish {
+        let place_request = PlaceRequest {
             returning: self.mark_as_retries,
             ..place_request(request.customer, arrived, draw)
         };
@@ -424,7 +424,7 @@
 }
 
 /// The request for a place of a customer's request that arrived at a router.
-fn place_request(customer: usize, arrived: Duration, draw: u64) -> Wish {
+fn place_request(customer: usize, arrived: Duration, draw: u64) -> PlaceRequest {
     let prompt = Prompt {
         tokens: PROMPT_TOKENS,
         answer_tokens: 0,
@@ -433,7 +433,7 @@
             tokens: PROMPT_TOKENS,
         }],
     };
-    Wish {
+    PlaceRequest {
         cell: Cell {
             service: ServiceTag::new("pool"),
             region: Region::default(),
@@ -531,7 +531,7 @@
     let mut fleet = Fleet::new(&[], 0);
     let prefix = shared_prompt().prefix().expect("a part is shared");
     let grant = |fleet: &mut Fleet, number| {
-        let place_request = Wish {
+        let place_request = PlaceRequest {
             content: None,
             prompt: Some(Rc::new(shared_prompt())),
             ..place_request(0, Duration::ZERO, 0)
--- a/crates/path/src/state/tests/limits.rs
+++ b/crates/path/src/state/tests/limits.rs
@@ -47,7 +47,7 @@
     let mut granted = BTreeMap::new();
     for number in 0..1_000 {
         let now = start + Duration::from_millis(number);
-        let place_request = Wish {
+        let place_request = PlaceRequest {
             failed,
             ..place_request(0, now, number)
         };
--- a/crates/path/src/state/tests/refusals.rs
+++ b/crates/path/src/state/tests/refusals.rs
@@ -58,7 +58,7 @@
     for number in 0..u64::try_from(BACKOFF.as_millis()).expect("a few seconds") {
         let now = START + Duration::from_millis(number);
         let router = number % ROUTERS;
-        let place_request = Wish {
+        let place_request = PlaceRequest {
             router: Peer(router),
             ..place_request(0, now, number)
         };
@@ -146,7 +146,7 @@
                 START,
             );
         }
-        let place_request = Wish {
+        let place_request = PlaceRequest {
             router: Peer(1),
             ..place_request(0, START, 0)
         };
--- a/crates/path/src/state/tests/retries.rs
+++ b/crates/path/src/state/tests/retries.rs
@@ -8,7 +8,7 @@
 
 /// Requests a place from an owner; returns whether it was granted.
 fn request(fleet: &mut Fleet, content: u64, number: u64, now: Duration) -> bool {
-    let place_request = Wish {
+    let place_request = PlaceRequest {
         content: Some(ContentTag(content)),
         ..place_request(0, now, number)
     };
--- a/crates/path/src/state/tests/suspects.rs
+++ b/crates/path/src/state/tests/suspects.rs
@@ -28,7 +28,7 @@
 
 /// Requests a place for a content; returns its target, if one was granted.
 fn place(fleet: &mut Fleet, content: Option<u64>, number: u64) -> Option<Tag> {
-    let place_request = Wish {
+    let place_request = PlaceRequest {
         content: content.map(ContentTag),
         prompt: Some(Rc::new(shared_prompt())),
         ..place_request(0, NOW, number)
