--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -22,7 +22,7 @@
 use crate::node::Node;
 use crate::pending::Answer;
 use crate::reply::{Reason, Refusal};
-use crate::state::{Bar, Claim, Opening, PlaceRequest};
+use crate::state::{Claim, Exclusion, Opening, PlaceRequest};
 
 /// Part of its objective within which a request must be answered by an owner.
 const ANSWER_PART: f64 = 0.1;
@@ -338,7 +338,7 @@
 
 impl Question<'_> {
     /// Gives a place back that must not be used.
-    fn refuse(&self, grant: Grant, target: &Target, bar: Bar) {
+    fn refuse(&self, grant: Grant, target: &Target, bar: Exclusion) {
         let node = self.node;
         node.metrics.add("places_barred", bar.name(), 1);
         let line = node.journal.line("place_refused");
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -49,7 +49,7 @@
 #[cfg(test)]
 mod tests;
 
-pub(crate) use availability::{Bar, Opening};
+pub(crate) use availability::{Exclusion, Opening};
 
 /// Bad outcomes eject no further target once one in this many targets of a service or
 /// cell is ejected.
--- a/crates/path/src/state/availability.rs
+++ b/crates/path/src/state/availability.rs
@@ -14,7 +14,7 @@
 
 /// Why a target must not get a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bar {
+pub enum Exclusion {
     /// Its failure domain is evacuated.
     Evacuated,
     /// It is shutting down.
@@ -46,7 +46,7 @@
     }
 }
 
-impl Bar {
+impl Exclusion {
     /// Label in logs and metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
@@ -65,20 +65,20 @@
         target: &Target,
         allowed: Constraint,
         now: Duration,
-    ) -> Option<Bar> {
+    ) -> Option<Exclusion> {
         let tag = target.tag();
         if !allowed.admits(self.registry.region_of(target)) {
-            return Some(Bar::OutOfRegion);
+            return Some(Exclusion::OutOfRegion);
         }
         let known = self.registry.get(tag);
         if known.is_some_and(|it| it.state == Condition::Leaving) {
-            return Some(Bar::Leaving);
+            return Some(Exclusion::Leaving);
         }
         if self.is_evacuated(target) {
-            return Some(Bar::Evacuated);
+            return Some(Exclusion::Evacuated);
         }
         let until = self.backoffs.backoff_until(self.peer, tag, now);
-        until.map(|_| Bar::BackedOff)
+        until.map(|_| Exclusion::BackedOff)
     }
 
     /// Whether a target's failure domain is evacuated.
