--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -22,7 +22,7 @@
 use crate::node::Node;
 use crate::pending::Answer;
 use crate::reply::{Reason, Refusal};
-use crate::state::{Claim, Exclusion, Opening, PlaceRequest};
+use crate::state::{Availability, Claim, Exclusion, PlaceRequest};
 
 /// Part of its objective within which a request must be answered by an owner.
 const ANSWER_PART: f64 = 0.1;
@@ -93,8 +93,8 @@
         let now = self.now();
         let opening = self.state.borrow().opening(wish.cell, now);
         match opening {
-            Opening::Never => Some(Refusal::new(Reason::NoTarget)),
-            Opening::Now | Opening::At(_) => {
+            Availability::Never => Some(Refusal::new(Reason::NoTarget)),
+            Availability::Now | Availability::At(_) => {
                 let closed_for = opening.closed_for(wish, now);
                 closed_for.map(|it| self.backed_off(it))
             }
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -49,7 +49,7 @@
 #[cfg(test)]
 mod tests;
 
-pub(crate) use availability::{Exclusion, Opening};
+pub(crate) use availability::{Availability, Exclusion};
 
 /// Bad outcomes eject no further target once one in this many targets of a service or
 /// cell is ejected.
--- a/crates/path/src/state/availability.rs
+++ b/crates/path/src/state/availability.rs
@@ -27,7 +27,7 @@
 
 /// When a cell has a target that may get requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Opening {
+pub(crate) enum Availability {
     /// At once.
     Now,
     /// From this time on, when a backoff ends.
@@ -36,7 +36,7 @@
     Never,
 }
 
-impl Opening {
+impl Availability {
     /// Time until a target is available, if a request stops waiting before.
     pub(crate) fn closed_for(self, request: &PlaceRequest, now: Duration) -> Option<Duration> {
         match self {
@@ -94,13 +94,13 @@
     /// When the first target of a cell may get requests of this router's clients, by the backoff
     /// that the targets requested from it. A request that stops waiting before then cannot be
     /// placed.
-    pub(crate) fn opening(&self, cell: Cell, now: Duration) -> Opening {
+    pub(crate) fn opening(&self, cell: Cell, now: Duration) -> Availability {
         self.first_available(cell, |tag| self.backoffs.backoff_until(self.peer, tag, now))
     }
 
     /// When the first target of a cell may get a request of any router, as known to the cell's
     /// owner.
-    pub(crate) fn opening_for(&self, request: &PlaceRequest, now: Duration) -> Opening {
+    pub(crate) fn opening_for(&self, request: &PlaceRequest, now: Duration) -> Availability {
         self.first_available(request.cell, |tag| {
             let available_at = self.backoffs.available_at(request.router, tag, now);
             Some(available_at).filter(|it| *it > now)
@@ -109,20 +109,24 @@
 
     /// When the first target of a cell may get requests; `backoff` gives the end of a target's
     /// backoff, if it is in one.
-    fn first_available(&self, cell: Cell, backoff: impl Fn(Tag) -> Option<Duration>) -> Opening {
+    fn first_available(
+        &self,
+        cell: Cell,
+        backoff: impl Fn(Tag) -> Option<Duration>,
+    ) -> Availability {
         let targets = self.registry.targets_of_cell(cell);
         if targets.is_empty() {
             // No target is known yet, or none is left; requests wait for one.
-            return Opening::Now;
+            return Availability::Now;
         }
-        let mut first = Opening::Never;
+        let mut first = Availability::Never;
         for target in targets.iter().filter(|it| self.is_available(it)) {
             let Some(until) = backoff(target.tag()) else {
-                return Opening::Now;
+                return Availability::Now;
             };
             first = match first {
-                Opening::At(known) => Opening::At(known.min(until)),
-                Opening::Now | Opening::Never => Opening::At(until),
+                Availability::At(known) => Availability::At(known.min(until)),
+                Availability::Now | Availability::Never => Availability::At(until),
             };
         }
         first
