--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -226,7 +226,7 @@
             cost: job.cost,
             objective: job.route.objective,
             arrived: job.arrived,
-            returning: job.returning,
+            is_retry: job.returning,
             counted: failed.is_some(),
             failed: failed.is_some(),
             avoid,
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -63,7 +63,7 @@
             cost: ask.cost,
             objective: ask.objective,
             arrived: now.saturating_sub(ask.waited),
-            returning: ask.is_retry,
+            is_retry: ask.is_retry,
             counted: ask.demand_counted,
             failed: ask.failed,
             avoid: ask.avoid,
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -271,7 +271,7 @@
             objective: wish.objective,
             waited: now.saturating_sub(wish.arrived),
             max_wait: wish.until.saturating_sub(now),
-            is_retry: wish.returning,
+            is_retry: wish.is_retry,
             demand_counted: wish.counted,
             failed: wish.failed,
             avoid: wish.avoid.clone(),
--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -89,7 +89,7 @@
         if self.state.borrow().held(&wish, self.now()) {
             return Err(Refusal::new(Reason::Suspected));
         }
-        wish.returning |= self.state.borrow().returns(&wish, self.now());
+        wish.is_retry |= self.state.borrow().returns(&wish, self.now());
         if let Some(lease) = self.place_now(&wish) {
             return Ok(lease);
         }
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -88,7 +88,7 @@
     /// Arrival time.
     pub arrived: Duration,
     /// Whether it is a retry of a refused request.
-    pub returning: bool,
+    pub is_retry: bool,
     /// Whether its tokens were already counted as demand.
     pub counted: bool,
     /// Whether it has failed at a target.
--- a/crates/path/src/state/placement.rs
+++ b/crates/path/src/state/placement.rs
@@ -54,7 +54,7 @@
         let known = self.queue.iter().any(|it| it.origin.is(peer, number));
         // A blocked content is not queued here: its router repeats the request.
         if !known && !self.held(&wish, now) {
-            wish.returning |= self.returns(&wish, now);
+            wish.is_retry |= self.returns(&wish, now);
             // Computed before the demand is recorded: the request itself is no sign of contention
             // until it has found no room.
             let cover = self.cover(&wish, now);
@@ -169,7 +169,7 @@
     /// Ratio of the capacity that a request may use, 0 to 1.
     fn capacity_share(&self, settings: &Settings, wish: &PlaceRequest, share_ratio: f64) -> f64 {
         let patience = &settings.patience;
-        let share = match (share_ratio < 1.0, wish.returning) {
+        let share = match (share_ratio < 1.0, wish.is_retry) {
             (false, _) => 1.0,
             // Squared, because the customer with the most requests gets most of the remaining room
             // at full targets.
@@ -297,7 +297,7 @@
         for waiter in &mut queue {
             waiter.cover = self.cover(&waiter.wish, now);
         }
-        queue.sort_by_key(|it| (it.cover < 1.0, it.wish.returning, it.wish.arrived));
+        queue.sort_by_key(|it| (it.cover < 1.0, it.wish.is_retry, it.wish.arrived));
         for waiter in queue {
             let choice = self.choose(settings, &waiter.wish, waiter.cover, now);
             match (choice, waiter) {
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -307,7 +307,7 @@
         let arrived = now.saturating_sub(LINK_DELAY);
         let draw = self.random.random();
         let place_request = PlaceRequest {
-            returning: self.mark_as_retries,
+            is_retry: self.mark_as_retries,
             ..place_request(request.customer, arrived, draw)
         };
         let asker = asker(request.router, number);
@@ -448,7 +448,7 @@
         cost: PROMPT_TOKENS,
         objective: OBJECTIVE,
         arrived,
-        returning: false,
+        is_retry: false,
         counted: false,
         failed: false,
         avoid: Vec::new(),
--- a/crates/path/src/state/tests/retries.rs
+++ b/crates/path/src/state/tests/retries.rs
@@ -33,7 +33,7 @@
 fn queued_as_retry(fleet: &Fleet, number: u64) -> Option<bool> {
     let mut queue = fleet.owner.queue.iter();
     let waiter = queue.find(|it| it.origin.is(Peer(1), number));
-    waiter.map(|it| it.wish.returning)
+    waiter.map(|it| it.wish.is_retry)
 }
 
 #[test]
