--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -170,7 +170,7 @@
     let cell = state.home_elsewhere(full, draft.prefix, customer, job.allowed, now)?;
     let wish = draft.wish(&state, cell, failed, until);
     Some(PlaceRequest {
-        counted: true,
+        demand_counted: true,
         ..wish
     })
 }
@@ -227,7 +227,7 @@
             objective: job.route.objective,
             arrived: job.arrived,
             is_retry: job.returning,
-            counted: failed.is_some(),
+            demand_counted: failed.is_some(),
             failed: failed.is_some(),
             avoid,
             until,
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -64,7 +64,7 @@
             objective: ask.objective,
             arrived: now.saturating_sub(ask.waited),
             is_retry: ask.is_retry,
-            counted: ask.demand_counted,
+            demand_counted: ask.demand_counted,
             failed: ask.failed,
             avoid: ask.avoid,
             until: now + ask.max_wait,
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -80,7 +80,7 @@
                 Asked::Barred(tag) if !wish.avoid.contains(&tag) => self.avoid(&mut wish, tag),
                 Asked::Barred(_) | Asked::Unanswered => unanswered += 1,
             }
-            wish.counted = true;
+            wish.demand_counted = true;
         }
         self.metrics.add("placed_alone", "unanswered", 1);
         wish.claim = Claim::Own;
@@ -272,7 +272,7 @@
             waited: now.saturating_sub(wish.arrived),
             max_wait: wish.until.saturating_sub(now),
             is_retry: wish.is_retry,
-            demand_counted: wish.counted,
+            demand_counted: wish.demand_counted,
             failed: wish.failed,
             avoid: wish.avoid.clone(),
         };
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -90,7 +90,7 @@
     /// Whether it is a retry of a refused request.
     pub is_retry: bool,
     /// Whether its tokens were already counted as demand.
-    pub counted: bool,
+    pub demand_counted: bool,
     /// Whether it has failed at a target.
     pub failed: bool,
     /// Targets on which it must not be placed: those that failed it, are ejected at its router, or
--- a/crates/path/src/state/placement.rs
+++ b/crates/path/src/state/placement.rs
@@ -28,7 +28,7 @@
     /// Records the tokens of a request as demand, unless that was done before.
     pub(crate) fn count(&mut self, wish: &PlaceRequest, now: Duration) {
         if let Some(customer) = wish.customer
-            && !wish.counted
+            && !wish.demand_counted
         {
             self.shares.record_demand(customer, wish.cost, now);
         }
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -449,7 +449,7 @@
         objective: OBJECTIVE,
         arrived,
         is_retry: false,
-        counted: false,
+        demand_counted: false,
         failed: false,
         avoid: Vec::new(),
         until: arrived + OBJECTIVE.mul_f64(Patience::default().first),
