--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -232,7 +232,7 @@
             avoid,
             until,
             claim: Claim::All,
-            draw: self.draw,
+            tie_breaker: self.draw,
         }
     }
 }
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -69,7 +69,7 @@
             avoid: ask.avoid,
             until: now + ask.max_wait,
             claim: Claim::All,
-            draw: node.draw(),
+            tie_breaker: node.draw(),
         };
         state.answer(&node.settings, asker, wish, now)
     };
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -101,7 +101,7 @@
     /// Capacity that it may use.
     pub claim: Claim,
     /// Random value that breaks ties between targets.
-    pub draw: u64,
+    pub tie_breaker: u64,
 }
 
 /// Mutable state of a router.
--- a/crates/path/src/state/placement.rs
+++ b/crates/path/src/state/placement.rs
@@ -158,7 +158,7 @@
             // A customer far below its share may recompute prefixes more, as others may use all
             // room at the targets that cache its prefixes.
             miss_capacity_scale: share_ratio.max(1.0),
-            tie_breaker: wish.draw,
+            tie_breaker: wish.tie_breaker,
         };
         let policy = &settings.policy;
         let choice = in_flight.and_then(|it| placement::choose(policy, &criteria, &[it]));
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -454,7 +454,7 @@
         avoid: Vec::new(),
         until: arrived + OBJECTIVE.mul_f64(Patience::default().first),
         claim: Claim::All,
-        draw,
+        tie_breaker: draw,
     }
 }
 
