--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -230,7 +230,7 @@
             demand_counted: failed.is_some(),
             failed: failed.is_some(),
             avoid,
-            until,
+            deadline: until,
             claim: Claim::All,
             tie_breaker: self.draw,
         }
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -67,7 +67,7 @@
             demand_counted: ask.demand_counted,
             failed: ask.failed,
             avoid: ask.avoid,
-            until: now + ask.max_wait,
+            deadline: now + ask.max_wait,
             claim: Claim::All,
             tie_breaker: node.draw(),
         };
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -126,7 +126,7 @@
         let way = self.way_to(owner);
         let time = answer_time(wish, way);
         // What the way takes is no waiting for room.
-        let until = wish.until + way.mean.min(longest_answer(wish));
+        let until = wish.deadline + way.mean.min(longest_answer(wish));
         let mut silent = 0;
         let mut waits = None;
         loop {
@@ -270,7 +270,7 @@
             cost: wish.cost,
             objective: wish.objective,
             waited: now.saturating_sub(wish.arrived),
-            max_wait: wish.until.saturating_sub(now),
+            max_wait: wish.deadline.saturating_sub(now),
             is_retry: wish.is_retry,
             demand_counted: wish.demand_counted,
             failed: wish.failed,
--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -60,7 +60,7 @@
     pub(crate) fn given_up(&self, now: Duration) -> bool {
         match &self.origin {
             Origin::Here(reply) => reply.is_closed(),
-            Origin::Peer(_) => now >= self.wish.until,
+            Origin::Peer(_) => now >= self.wish.deadline,
         }
     }
 }
@@ -99,7 +99,7 @@
             self.state.borrow_mut().refuse(&wish, now);
             return Err(self.backed_off(time));
         }
-        let until = wish.until;
+        let until = wish.deadline;
         let customer = wish.customer;
         let (reply, receiver) = oneshot::channel();
         let waiter = Waiter {
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -97,7 +97,7 @@
     /// were found excluded there after a grant.
     pub avoid: Vec<Tag>,
     /// Time at which it stops waiting for a place.
-    pub until: Duration,
+    pub deadline: Duration,
     /// Capacity that it may use.
     pub claim: Claim,
     /// Random value that breaks ties between targets.
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -452,7 +452,7 @@
         demand_counted: false,
         failed: false,
         avoid: Vec::new(),
-        until: arrived + OBJECTIVE.mul_f64(Patience::default().first),
+        deadline: arrived + OBJECTIVE.mul_f64(Patience::default().first),
         claim: Claim::All,
         tie_breaker: draw,
     }
