--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -95,7 +95,7 @@
         match opening {
             Availability::Never => Some(Refusal::new(Reason::NoTarget)),
             Availability::Now | Availability::At(_) => {
-                let closed_for = opening.closed_for(wish, now);
+                let closed_for = opening.unavailable_for(wish, now);
                 closed_for.map(|it| self.backed_off(it))
             }
         }
--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -95,7 +95,7 @@
         }
         let now = self.now();
         let opening = self.state.borrow().opening_for(&wish, now);
-        if let Some(time) = opening.closed_for(&wish, now) {
+        if let Some(time) = opening.unavailable_for(&wish, now) {
             self.state.borrow_mut().refuse(&wish, now);
             return Err(self.backed_off(time));
         }
--- a/crates/path/src/state/availability.rs
+++ b/crates/path/src/state/availability.rs
@@ -38,7 +38,7 @@
 
 impl Availability {
     /// Time until a target is available, if a request stops waiting before.
-    pub(crate) fn closed_for(self, request: &PlaceRequest, now: Duration) -> Option<Duration> {
+    pub(crate) fn unavailable_for(self, request: &PlaceRequest, now: Duration) -> Option<Duration> {
         match self {
             Self::At(at) if at > request.deadline => Some(at.saturating_sub(now)),
             Self::Now | Self::At(_) | Self::Never => None,
