--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -151,7 +151,7 @@
     };
     // What has become known since the place was given, also while a connection was opened.
     let now = node.now();
-    let barred = node.state.borrow().barred(&target, job.allowed, now);
+    let barred = node.state.borrow().exclusion(&target, job.allowed, now);
     if let Some(bar) = barred {
         node.metrics.add("places_barred", bar.name(), 1);
         return Err(Failure::new(Verdict::NotSent, bar.name()));
--- a/crates/path/src/memories.rs
+++ b/crates/path/src/memories.rs
@@ -169,7 +169,7 @@
     let barred = node
         .state
         .borrow()
-        .barred(engine, Constraint::ANY, node.now());
+        .exclusion(engine, Constraint::ANY, node.now());
     if let Some(bar) = barred {
         return BarredSnafu { reason: bar.name() }.fail();
     }
@@ -212,7 +212,7 @@
         let cells = state.registry.all_cells();
         let own = cells.filter(|(cell, _)| state.members.owner(*cell, now) == self.settings.link);
         let own = own.flat_map(|(_, targets)| targets);
-        let own = own.filter(|it| state.barred(it, Constraint::ANY, now).is_none());
+        let own = own.filter(|it| state.exclusion(it, Constraint::ANY, now).is_none());
         let engines = own.filter(|target| {
             let service = table.service(&target.service);
             service.is_some_and(|it| it.engine.is_some())
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -304,7 +304,7 @@
             return Asked::Unanswered;
         };
         let state = self.node.state.borrow();
-        let bar = state.barred(&target, wish.allowed, now);
+        let bar = state.exclusion(&target, wish.allowed, now);
         drop(state);
         if let Some(bar) = bar {
             self.refuse(grant, &target, bar);
--- a/crates/path/src/state/availability.rs
+++ b/crates/path/src/state/availability.rs
@@ -60,7 +60,7 @@
 
 impl State {
     /// Why a target must not get a request of this router's clients; none if it may.
-    pub(crate) fn barred(
+    pub(crate) fn exclusion(
         &self,
         target: &Target,
         allowed: Constraint,
--- a/crates/path/src/state/tests/homes.rs
+++ b/crates/path/src/state/tests/homes.rs
@@ -83,7 +83,7 @@
         }
         // The check before a request is sent applies the same restrictions.
         for target in &listed {
-            let barred = state.barred(target, allowed, START).is_some();
+            let barred = state.exclusion(target, allowed, START).is_some();
             assert_eq!(barred, !admits(region_of(target)));
         }
     }
