--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -91,7 +91,7 @@
     /// the other once one can.
     fn in_vain(&self, wish: &PlaceRequest) -> Option<Refusal> {
         let now = self.now();
-        let opening = self.state.borrow().opening(wish.cell, now);
+        let opening = self.state.borrow().availability(wish.cell, now);
         match opening {
             Availability::Never => Some(Refusal::new(Reason::NoTarget)),
             Availability::Now | Availability::At(_) => {
--- a/crates/path/src/state/availability.rs
+++ b/crates/path/src/state/availability.rs
@@ -94,7 +94,7 @@
     /// When the first target of a cell may get requests of this router's clients, by the backoff
     /// that the targets requested from it. A request that stops waiting before then cannot be
     /// placed.
-    pub(crate) fn opening(&self, cell: Cell, now: Duration) -> Availability {
+    pub(crate) fn availability(&self, cell: Cell, now: Duration) -> Availability {
         self.first_available(cell, |tag| self.backoffs.backoff_until(self.peer, tag, now))
     }
 
--- a/crates/path/src/state/homes.rs
+++ b/crates/path/src/state/homes.rs
@@ -46,7 +46,7 @@
         let mut cells = regions
             .iter()
             .flat_map(|it| self.ranked_cells(service, *it, prefix));
-        let available = cells.find(|it| self.opening(*it, now) == Availability::Now);
+        let available = cells.find(|it| self.availability(*it, now) == Availability::Now);
         let first = || self.ranked_cells(service, *regions.first()?, prefix).next();
         available.or_else(first)
     }
@@ -67,7 +67,7 @@
         let mut available = homes.filter(|it| {
             let full_at = self.full_cells.get(&(*it, customer)).copied();
             let is_full = full_at.is_some_and(|at| now.saturating_sub(at) < FULL_CELL_RETRY_DELAY);
-            !is_full && self.opening(*it, now) == Availability::Now
+            !is_full && self.availability(*it, now) == Availability::Now
         });
         available.next()
     }
