--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -94,7 +94,7 @@
             return Ok(lease);
         }
         let now = self.now();
-        let opening = self.state.borrow().opening_for(&wish, now);
+        let opening = self.state.borrow().availability_for(&wish, now);
         if let Some(time) = opening.unavailable_for(&wish, now) {
             self.state.borrow_mut().refuse(&wish, now);
             return Err(self.backed_off(time));
--- a/crates/path/src/state/availability.rs
+++ b/crates/path/src/state/availability.rs
@@ -100,7 +100,7 @@
 
     /// When the first target of a cell may get a request of any router, as known to the cell's
     /// owner.
-    pub(crate) fn opening_for(&self, request: &PlaceRequest, now: Duration) -> Availability {
+    pub(crate) fn availability_for(&self, request: &PlaceRequest, now: Duration) -> Availability {
         self.first_available(request.cell, |tag| {
             let available_at = self.backoffs.available_at(request.router, tag, now);
             Some(available_at).filter(|it| *it > now)
--- a/crates/path/src/state/placement.rs
+++ b/crates/path/src/state/placement.rs
@@ -65,7 +65,9 @@
                 return Content::Grant(self.grant_to_peer(asker, &wish, &choice, now));
             }
             let customer = wish.customer;
-            let closed_for = self.opening_for(&wish, now).unavailable_for(&wish, now);
+            let closed_for = self
+                .availability_for(&wish, now)
+                .unavailable_for(&wish, now);
             if closed_for.is_some() {
                 self.refuse(&wish, now);
                 return self.wait(number, customer, closed_for, now);
