--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -86,7 +86,7 @@
         self: &Rc<Self>,
         mut wish: PlaceRequest,
     ) -> Result<Lease, Refusal> {
-        if self.state.borrow().held(&wish, self.now()) {
+        if self.state.borrow().is_blocked(&wish, self.now()) {
             return Err(Refusal::new(Reason::Suspected));
         }
         wish.is_retry |= self.state.borrow().returns(&wish, self.now());
--- a/crates/path/src/state/placement.rs
+++ b/crates/path/src/state/placement.rs
@@ -53,7 +53,7 @@
         }
         let known = self.queue.iter().any(|it| it.origin.is(peer, number));
         // A blocked content is not queued here: its router repeats the request.
-        if !known && !self.held(&wish, now) {
+        if !known && !self.is_blocked(&wish, now) {
             wish.is_retry |= self.returns(&wish, now);
             // Computed before the demand is recorded: the request itself is no sign of contention
             // until it has found no room.
@@ -126,7 +126,7 @@
         share_ratio: f64,
         now: Duration,
     ) -> Option<Choice> {
-        if self.held(wish, now) {
+        if self.is_blocked(wish, now) {
             return None;
         }
         let prompt = wish.prompt.as_deref();
@@ -295,7 +295,7 @@
         for waiter in queue.extract_if(.., |it| it.given_up(now)) {
             self.refuse(&waiter.wish, now);
         }
-        queue.retain(|it| !self.held(&it.wish, now));
+        queue.retain(|it| !self.is_blocked(&it.wish, now));
         for waiter in &mut queue {
             waiter.cover = self.cover(&waiter.wish, now);
         }
--- a/crates/path/src/state/suspects.rs
+++ b/crates/path/src/state/suspects.rs
@@ -11,7 +11,7 @@
 
 impl State {
     /// Whether the content of a request is held or quarantined, so that it must not be sent now.
-    pub(crate) fn held(&self, request: &PlaceRequest, now: Duration) -> bool {
+    pub(crate) fn is_blocked(&self, request: &PlaceRequest, now: Duration) -> bool {
         let status = request
             .content
             .map(|it| self.quarantine.status_by_tag(it, now));
