--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -70,7 +70,7 @@
     fn place_now(self: &Rc<Self>, wish: &PlaceRequest) -> Option<Lease> {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        let cover = state.cover(wish, now);
+        let cover = state.share_ratio(wish, now);
         state.count(wish, now);
         if state.waits(wish) {
             return None;
--- a/crates/path/src/state/placement.rs
+++ b/crates/path/src/state/placement.rs
@@ -57,7 +57,7 @@
             wish.is_retry |= self.returns(&wish, now);
             // Computed before the demand is recorded: the request itself is no sign of contention
             // until it has found no room.
-            let cover = self.cover(&wish, now);
+            let cover = self.share_ratio(&wish, now);
             self.count(&wish, now);
             if !self.waits(&wish)
                 && let Some(choice) = self.choose(settings, &wish, cover, now)
@@ -111,7 +111,7 @@
     }
 
     /// Ratio of the share of the request's customer to its usage; 1 or more within the share.
-    pub(crate) fn cover(&mut self, wish: &PlaceRequest, now: Duration) -> f64 {
+    pub(crate) fn share_ratio(&mut self, wish: &PlaceRequest, now: Duration) -> f64 {
         let Some(customer) = wish.customer else {
             return 1.0;
         };
@@ -297,7 +297,7 @@
         }
         queue.retain(|it| !self.is_blocked(&it.wish, now));
         for waiter in &mut queue {
-            waiter.cover = self.cover(&waiter.wish, now);
+            waiter.cover = self.share_ratio(&waiter.wish, now);
         }
         queue.sort_by_key(|it| (it.cover < 1.0, it.wish.is_retry, it.wish.arrived));
         for waiter in queue {
