--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -71,7 +71,7 @@
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let cover = state.share_ratio(wish, now);
-        state.count(wish, now);
+        state.record_demand(wish, now);
         if state.waits(wish) {
             return None;
         }
--- a/crates/path/src/state/placement.rs
+++ b/crates/path/src/state/placement.rs
@@ -26,7 +26,7 @@
 
 impl State {
     /// Records the tokens of a request as demand, unless that was done before.
-    pub(crate) fn count(&mut self, wish: &PlaceRequest, now: Duration) {
+    pub(crate) fn record_demand(&mut self, wish: &PlaceRequest, now: Duration) {
         if let Some(customer) = wish.customer
             && !wish.demand_counted
         {
@@ -58,7 +58,7 @@
             // Computed before the demand is recorded: the request itself is no sign of contention
             // until it has found no room.
             let cover = self.share_ratio(&wish, now);
-            self.count(&wish, now);
+            self.record_demand(&wish, now);
             if !self.waits(&wish)
                 && let Some(choice) = self.choose(settings, &wish, cover, now)
             {
