--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -72,7 +72,7 @@
         let mut state = self.state.borrow_mut();
         let cover = state.share_ratio(wish, now);
         state.record_demand(wish, now);
-        if state.waits(wish) {
+        if state.has_queued(wish) {
             return None;
         }
         let choice = state.choose(&self.settings, wish, cover, now)?;
--- a/crates/path/src/state/placement.rs
+++ b/crates/path/src/state/placement.rs
@@ -35,7 +35,7 @@
     }
 
     /// Whether requests for the same cell are queued.
-    pub(crate) fn waits(&self, wish: &PlaceRequest) -> bool {
+    pub(crate) fn has_queued(&self, wish: &PlaceRequest) -> bool {
         self.queue.iter().any(|it| it.wish.cell == wish.cell)
     }
 
@@ -59,7 +59,7 @@
             // until it has found no room.
             let cover = self.share_ratio(&wish, now);
             self.record_demand(&wish, now);
-            if !self.waits(&wish)
+            if !self.has_queued(&wish)
                 && let Some(choice) = self.choose(settings, &wish, cover, now)
             {
                 return Content::Grant(self.grant_to_peer(asker, &wish, &choice, now));
