--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -89,7 +89,7 @@
         if self.state.borrow().is_blocked(&wish, self.now()) {
             return Err(Refusal::new(Reason::Suspected));
         }
-        wish.is_retry |= self.state.borrow().returns(&wish, self.now());
+        wish.is_retry |= self.state.borrow().is_retry(&wish, self.now());
         if let Some(lease) = self.place_now(&wish) {
             return Ok(lease);
         }
--- a/crates/path/src/state/placement.rs
+++ b/crates/path/src/state/placement.rs
@@ -54,7 +54,7 @@
         let known = self.queue.iter().any(|it| it.origin.is(peer, number));
         // A blocked content is not queued here: its router repeats the request.
         if !known && !self.is_blocked(&wish, now) {
-            wish.is_retry |= self.returns(&wish, now);
+            wish.is_retry |= self.is_retry(&wish, now);
             // Computed before the demand is recorded: the request itself is no sign of contention
             // until it has found no room.
             let cover = self.share_ratio(&wish, now);
@@ -83,7 +83,7 @@
     }
 
     /// Whether a request is a retry of one that got no place here.
-    pub(crate) fn returns(&self, wish: &PlaceRequest, now: Duration) -> bool {
+    pub(crate) fn is_retry(&self, wish: &PlaceRequest, now: Duration) -> bool {
         wish.content
             .is_some_and(|it| self.refused_contents.contains(it, now))
     }
