--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -96,7 +96,7 @@
         let now = self.now();
         let opening = self.state.borrow().availability_for(&wish, now);
         if let Some(time) = opening.unavailable_for(&wish, now) {
-            self.state.borrow_mut().refuse(&wish, now);
+            self.state.borrow_mut().record_refused(&wish, now);
             return Err(self.backed_off(time));
         }
         let until = wish.deadline;
--- a/crates/path/src/state/placement.rs
+++ b/crates/path/src/state/placement.rs
@@ -69,7 +69,7 @@
                 .availability_for(&wish, now)
                 .unavailable_for(&wish, now);
             if closed_for.is_some() {
-                self.refuse(&wish, now);
+                self.record_refused(&wish, now);
                 return self.wait(number, customer, closed_for, now);
             }
             self.queue.push(Waiter {
@@ -89,7 +89,7 @@
     }
 
     /// Records that a request got no place.
-    pub(crate) fn refuse(&mut self, wish: &PlaceRequest, now: Duration) {
+    pub(crate) fn record_refused(&mut self, wish: &PlaceRequest, now: Duration) {
         if let Some(content) = wish.content {
             self.refused_contents.insert(content, now);
         }
@@ -293,7 +293,7 @@
         let mut pass = Pass::default();
         let mut queue = std::mem::take(&mut self.queue);
         for waiter in queue.extract_if(.., |it| it.given_up(now)) {
-            self.refuse(&waiter.wish, now);
+            self.record_refused(&waiter.wish, now);
         }
         queue.retain(|it| !self.is_blocked(&it.wish, now));
         for waiter in &mut queue {
