--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -76,7 +76,7 @@
             return None;
         }
         let choice = state.choose(&self.settings, wish, cover, now)?;
-        let place = state.begin(wish, choice, self.settings.link, now);
+        let place = state.grant_place(wish, choice, self.settings.link, now);
         drop(state);
         Some(Lease::new(self, place))
     }
--- a/crates/path/src/state/placement.rs
+++ b/crates/path/src/state/placement.rs
@@ -192,7 +192,7 @@
     }
 
     /// Grants a place to a request of this router's clients.
-    pub(crate) fn begin(
+    pub(crate) fn grant_place(
         &mut self,
         wish: &PlaceRequest,
         choice: Choice,
@@ -306,7 +306,7 @@
                 (None, waiter) => self.queue.push(waiter),
                 (Some(choice), Waiter { wish, origin, .. }) => match origin {
                     Origin::Here(reply) => {
-                        let place = self.begin(&wish, choice, settings.link, now);
+                        let place = self.grant_place(&wish, choice, settings.link, now);
                         pass.here.push((reply, place));
                     }
                     Origin::Peer(asker) => {
