--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -312,7 +312,7 @@
         }
         let fetch = {
             let mut state = self.node.state.borrow_mut();
-            state.take_place(wish, &grant, now);
+            state.accept_grant(wish, &grant, now);
             let source = grant.fetch.and_then(|it| state.registry.get(it));
             let source = source.filter(|it| wish.allowed.admits(state.registry.region_of(it)));
             source.map(|it| it.address)
--- a/crates/path/src/state/placement.rs
+++ b/crates/path/src/state/placement.rs
@@ -280,7 +280,7 @@
     }
 
     /// Records that this router uses a place that another router granted.
-    pub(crate) fn take_place(&mut self, wish: &PlaceRequest, grant: &Grant, now: Duration) {
+    pub(crate) fn accept_grant(&mut self, wish: &PlaceRequest, grant: &Grant, now: Duration) {
         self.usage.begin(grant.tag, grant.unread);
         if let Some(prefix) = wish.prompt.as_deref().and_then(Prompt::prefix) {
             self.memory.record_sent(prefix, grant.tag, now);
