--- a/crates/path/src/state/placement.rs
+++ b/crates/path/src/state/placement.rs
@@ -289,7 +289,7 @@
 
     /// Grants places to queued requests: those within their customer's share first, then first
     /// attempts before retries, then by arrival.
-    pub(crate) fn pass(&mut self, settings: &Settings, now: Duration) -> Pass {
+    pub(crate) fn process_queue(&mut self, settings: &Settings, now: Duration) -> Pass {
         let mut pass = Pass::default();
         let mut queue = std::mem::take(&mut self.queue);
         for waiter in queue.extract_if(.., |it| it.given_up(now)) {
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -394,7 +394,7 @@
     }
 
     fn pass(&mut self, now: Duration) {
-        for (_, grant) in self.owner.pass(&self.settings, now).peers {
+        for (_, grant) in self.owner.process_queue(&self.settings, now).peers {
             self.send_grant(grant, now);
         }
     }
--- a/crates/path/src/state/tests/refusals.rs
+++ b/crates/path/src/state/tests/refusals.rs
@@ -160,7 +160,7 @@
         assert_eq!(fleet.owner.queue.len(), usize::from(waits));
         let end = fleet.owner.backoffs.next_expiry(START);
         assert_eq!(end, Some(START + backoff));
-        let pass = fleet.owner.pass(&settings, START + backoff);
+        let pass = fleet.owner.process_queue(&settings, START + backoff);
         assert_eq!(pass.peers.len(), usize::from(waits));
     }
 }
--- a/crates/path/src/state/tests/retries.rs
+++ b/crates/path/src/state/tests/retries.rs
@@ -54,7 +54,7 @@
     let mut fleet = Fleet::new(&[], 0);
     let refused = fill(&mut fleet);
     let settings = fleet.settings.clone();
-    fleet.owner.pass(&settings, SECOND);
+    fleet.owner.process_queue(&settings, SECOND);
     assert_eq!(queued_as_retry(&fleet, refused), None);
     let late = SECOND + SECOND / 2;
     request(&mut fleet, refused, 1_001, late);
