--- a/crates/path/src/queue.rs
+++ b/crates/path/src/queue.rs
@@ -148,7 +148,7 @@
     fn fill(self: &Rc<Self>) {
         let now = self.now();
         let pass = self.state.borrow_mut().process_queue(&self.settings, now);
-        for (reply, place) in pass.here {
+        for (reply, place) in pass.local {
             // If the caller has left, the lease comes back and is dropped.
             drop(reply.send(Lease::new(self, place)));
         }
--- a/crates/path/src/state/placement.rs
+++ b/crates/path/src/state/placement.rs
@@ -19,7 +19,7 @@
 #[derive(Default)]
 pub(crate) struct Pass {
     /// Places for requests of this router's clients.
-    pub(crate) here: Vec<(oneshot::Sender<Lease>, Place)>,
+    pub(crate) local: Vec<(oneshot::Sender<Lease>, Place)>,
     /// Places for requests of other routers.
     pub(crate) peers: Vec<(SocketAddr, Grant)>,
 }
@@ -307,7 +307,7 @@
                 (Some(choice), Waiter { wish, origin, .. }) => match origin {
                     Origin::Here(reply) => {
                         let place = self.grant_place(&wish, choice, settings.link, now);
-                        pass.here.push((reply, place));
+                        pass.local.push((reply, place));
                     }
                     Origin::Peer(asker) => {
                         let grant = self.grant_to_peer(asker, &wish, &choice, now);
