--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -87,7 +87,9 @@
 /// A target has read a router's prompt.
 pub fn read(node: &Rc<Node>, peer: Peer, tag: Tag, unread: u64) {
     let now = node.now();
-    node.state.borrow_mut().read_for(peer, tag, unread, now);
+    node.state
+        .borrow_mut()
+        .end_prefill_for(peer, tag, unread, now);
     node.room_came();
 }
 
--- a/crates/path/src/state/leases.rs
+++ b/crates/path/src/state/leases.rs
@@ -33,7 +33,7 @@
     }
 
     /// Records that a target has prefilled another router's prompt.
-    pub(crate) fn read_for(&mut self, peer: Peer, tag: Tag, unread: u64, now: Duration) {
+    pub(crate) fn end_prefill_for(&mut self, peer: Peer, tag: Tag, unread: u64, now: Duration) {
         self.usage.end_prefill_for(peer, tag, unread);
         self.backoffs.record_running(tag, now);
     }
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -360,7 +360,8 @@
         *self.prefilled.entry((customer, now.as_secs())).or_default() += PROMPT_TOKENS;
         self.usage(number).end_prefill(grant.tag, grant.unread);
         let peer = self.peer(number);
-        self.owner.read_for(peer, grant.tag, grant.unread, now);
+        self.owner
+            .end_prefill_for(peer, grant.tag, grant.unread, now);
         let returned = Return {
             tag: grant.tag,
             unread: 0,
