--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -96,7 +96,7 @@
 /// A router's place is free again.
 pub fn returned(node: &Rc<Node>, peer: Peer, returned: Return) {
     let now = node.now();
-    node.state.borrow_mut().returned(peer, &returned, now);
+    node.state.borrow_mut().return_place(peer, &returned, now);
     if let Some(outcome) = returned.outcome {
         node.note_reported(returned.tag, outcome);
         if let Some(content) = returned.content.filter(|_| outcome == Outcome::Good) {
--- a/crates/path/src/state/leases.rs
+++ b/crates/path/src/state/leases.rs
@@ -39,7 +39,7 @@
     }
 
     /// Records that a place granted to another router is free again.
-    pub(crate) fn returned(&mut self, peer: Peer, returned: &Return, now: Duration) {
+    pub(crate) fn return_place(&mut self, peer: Peer, returned: &Return, now: Duration) {
         self.usage.end_for(peer, returned.tag, returned.unread);
         if let Some(content) = returned.content {
             self.copies.end(content, returned.tag);
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -266,7 +266,7 @@
             Event::Return(number, returned) => {
                 self.usage(number).end(returned.tag);
                 let peer = self.peer(number);
-                self.owner.returned(peer, &returned, now);
+                self.owner.return_place(peer, &returned, now);
                 self.schedule_pass(now);
             }
             Event::Pass => self.pass(now),
--- a/crates/path/src/state/tests/limits.rs
+++ b/crates/path/src/state/tests/limits.rs
@@ -67,7 +67,7 @@
             content: None,
             refusal: None,
         };
-        fleet.owner.returned(Peer(1), &returned, now);
+        fleet.owner.return_place(Peer(1), &returned, now);
     }
     granted
 }
--- a/crates/path/src/state/tests/refusals.rs
+++ b/crates/path/src/state/tests/refusals.rs
@@ -63,7 +63,7 @@
             ..place_request(0, now, number)
         };
         for (peer, returned) in returns.remove(&number).unwrap_or_default() {
-            fleet.owner.returned(Peer(peer), &returned, now);
+            fleet.owner.return_place(Peer(peer), &returned, now);
         }
         let answer = fleet
             .owner
--- a/crates/path/src/state/tests/suspects.rs
+++ b/crates/path/src/state/tests/suspects.rs
@@ -97,7 +97,7 @@
         refusal: None,
     };
     fleet.owner.confirm(Peer(1), &[1], NOW);
-    fleet.owner.returned(Peer(1), &returned, NOW);
+    fleet.owner.return_place(Peer(1), &returned, NOW);
     fleet.owner.withdraw(Peer(1), 2, NOW);
     assert_eq!(fleet.owner.copies.target(content), Some(tag));
     fleet.owner.expire_grants(grants::LEASE_TIMEOUT);
