--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -226,7 +226,7 @@
     /// Takes back the charge of a place that was not used, unless the cell's owner does so.
     fn take_back(&self, node: &Node, owner: SocketAddr) {
         match self.giver {
-            Giver::Own(charge) => node.state.borrow_mut().take_back(charge, node.now()),
+            Giver::Own(charge) => node.state.borrow_mut().refund(charge, node.now()),
             Giver::Peer { address, number } if address != owner => {
                 node.send(address, Content::Withdraw(number));
             }
--- a/crates/path/src/state/leases.rs
+++ b/crates/path/src/state/leases.rs
@@ -86,7 +86,7 @@
     /// Reverts the accounting for a place that is not used: its charge, and its prefix unless the
     /// place was confirmed, which means that the request was sent to the target.
     fn undo(&mut self, end: End, now: Duration) {
-        self.take_back(end.lease.charge, now);
+        self.refund(end.lease.charge, now);
         if let Some(prefix) = end.lease.prefix.filter(|_| !end.confirmed) {
             self.memory.cancel_grant(prefix);
         }
@@ -96,7 +96,7 @@
     /// requests time out before their grants arrive counts as over its share for capacity that it
     /// never used: with answers read 5 to 60 ms late, it got 13 % of the tokens of another customer
     /// in six seconds, and 96 % with refunds (see `tests`).
-    pub(crate) fn take_back(&mut self, charge: Option<Charge>, now: Duration) {
+    pub(crate) fn refund(&mut self, charge: Option<Charge>, now: Duration) {
         if let Some(charge) = charge {
             self.shares.refund(charge, now);
         }
