--- a/crates/path/src/lending.rs
+++ b/crates/path/src/lending.rs
@@ -41,7 +41,9 @@
     node.metrics.add("places_elsewhere", label, 1);
     if lent.is_err() {
         let now = node.now();
-        node.state.borrow_mut().note_short(cell, customer, now);
+        node.state
+            .borrow_mut()
+            .record_full_cell(cell, customer, now);
     }
     lent.map_err(|_| refusal)
 }
--- a/crates/path/src/state/homes.rs
+++ b/crates/path/src/state/homes.rs
@@ -73,7 +73,12 @@
     }
 
     /// Records that a cell of another region had no room for a customer's request.
-    pub(crate) fn note_short(&mut self, cell: Cell, customer: Option<CustomerTag>, now: Duration) {
+    pub(crate) fn record_full_cell(
+        &mut self,
+        cell: Cell,
+        customer: Option<CustomerTag>,
+        now: Duration,
+    ) {
         self.full_cells
             .retain(|_, at| now.saturating_sub(*at) < FULL_CELL_RETRY_DELAY);
         self.full_cells.insert((cell, customer), now);
