--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -264,7 +264,7 @@
     }
 
     /// Sets whether this router is overloaded, and announces it.
-    pub(crate) fn set_behind(&mut self, behind: bool) {
+    pub(crate) fn set_overloaded(&mut self, behind: bool) {
         self.members.set_overloaded(behind);
         self.membership.set_condition(self.members.condition());
     }
--- a/crates/path/src/strain.rs
+++ b/crates/path/src/strain.rs
@@ -113,6 +113,6 @@
         let line = self.journal.line(event).with_ms("late_ms", late);
         drop(line.with("open", self.open.get()));
         self.metrics.add("strain", event, 1);
-        self.state.borrow_mut().set_behind(behind);
+        self.state.borrow_mut().set_overloaded(behind);
     }
 }
