--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -192,7 +192,7 @@
     if version > 0 && views.configuration == version && !differs {
         let known = state.configuration_reads.at();
         let reading = views.configuration_read;
-        let at = reading.and_then(|it| state.hear_configuration(it, now));
+        let at = reading.and_then(|it| state.receive_configuration(it, now));
         news.younger |= at.is_some_and(|at| younger(at, known));
     }
     let Some(reading) = views.registry_read else {
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -277,7 +277,7 @@
 
     /// Applies a peer's reading at which the configuration in force was the newest of the store.
     /// Returns its date; none if its reader has read again since.
-    pub(crate) fn hear_configuration(
+    pub(crate) fn receive_configuration(
         &mut self,
         reading: Reading,
         now: Duration,
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -185,7 +185,7 @@
         node.take_configuration(configuration, "peer");
         if let Some(reading) = view.configuration_read {
             let now = node.now();
-            node.state.borrow_mut().hear_configuration(reading, now);
+            node.state.borrow_mut().receive_configuration(reading, now);
         }
     }
     if let Some(entries) = view.quarantine {
