--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -296,7 +296,7 @@
     }
 
     /// Applies a list of all targets.
-    pub(crate) fn take_list(&mut self, list: List) -> Vec<Change> {
+    pub(crate) fn apply_list(&mut self, list: List) -> Vec<Change> {
         let listing = Listing {
             targets: list.targets,
             unreadable: list.unreadable,
--- a/crates/path/src/state/tests/limits.rs
+++ b/crates/path/src/state/tests/limits.rs
@@ -32,7 +32,7 @@
         reading: None,
         position: None,
     };
-    fleet.owner.take_list(list);
+    fleet.owner.apply_list(list);
     fleet
 }
 
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -29,7 +29,7 @@
                     None => state.registry_reads.record(as_of),
                 }
             }
-            (first, state.take_list(list))
+            (first, state.apply_list(list))
         };
         if first {
             let line = self.journal.line("targets_taken");
