--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -316,7 +316,7 @@
 
     /// Applies the records in the store's log since the known list, up to `end`; none if the known
     /// list is newer or complete beyond `end`.
-    pub(crate) fn take_delta(
+    pub(crate) fn apply_delta(
         &mut self,
         delta: Delta,
         end: Position,
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -46,7 +46,7 @@
 
     /// Takes what was written to the store's log behind the known list, up to `end`.
     pub fn take_targets_delta(&self, delta: Delta, end: Position, as_of: Duration) {
-        let changes = self.state.borrow_mut().take_delta(delta, end, as_of);
+        let changes = self.state.borrow_mut().apply_delta(delta, end, as_of);
         let Some(changes) = changes else {
             return;
         };
