--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -335,7 +335,7 @@
     }
 
     /// Applies the entries of a peer's list that the known list lacks, unless the peer's is older.
-    pub(crate) fn take_told(&mut self, told: Told) -> Vec<Change> {
+    pub(crate) fn apply_peer_delta(&mut self, told: Told) -> Vec<Change> {
         let as_of = told.as_of;
         if self.registry.read_at().is_none_or(|at| as_of < at) {
             return Vec::new();
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -70,7 +70,7 @@
             self.take_targets(list, PEER);
             return;
         }
-        let changes = self.state.borrow_mut().take_told(told);
+        let changes = self.state.borrow_mut().apply_peer_delta(told);
         self.tell_changes(&changes, PEER, as_of);
         self.targets_changed(!changes.is_empty(), PEER);
     }
