--- a/crates/path/src/evacuation.rs
+++ b/crates/path/src/evacuation.rs
@@ -13,7 +13,7 @@
     #[must_use]
     pub fn see_era(&self, era: u64, source: &str) -> bool {
         let now = self.now();
-        let sight = self.state.borrow_mut().see_era(era, now);
+        let sight = self.state.borrow_mut().observe_era(era, now);
         match sight {
             Observation::Current => {}
             Observation::Stale => self.metrics.add("store_stale", source, 1),
@@ -45,7 +45,7 @@
         let now = self.now();
         for order in orders.iter().filter(|it| it.evacuated) {
             // An order of an earlier era says that the store came back, perhaps just now.
-            self.state.borrow_mut().see_era(order.at.era, now);
+            self.state.borrow_mut().observe_era(order.at.era, now);
         }
         self.change_evacuations(source, |it| {
             orders
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -351,7 +351,7 @@
     }
 
     /// Records an era of the store, as reported by the store or a peer.
-    pub(crate) fn see_era(&mut self, era: u64, now: Duration) -> Observation {
+    pub(crate) fn observe_era(&mut self, era: u64, now: Duration) -> Observation {
         let observation = self.store.observe(era, now);
         if observation == Observation::Restored {
             self.registry.record_restore(now);
