--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -386,7 +386,7 @@
     }
 
     /// Removes the state of a target that has terminated.
-    pub(crate) fn forget(&mut self, tag: Tag) {
+    pub(crate) fn remove_target(&mut self, tag: Tag) {
         self.memory.remove_target(tag);
         self.caches.remove_target(tag);
         self.health.forget(tag);
--- a/crates/path/src/targets.rs
+++ b/crates/path/src/targets.rs
@@ -153,7 +153,7 @@
     }
 
     fn forget(&self, tag: Tag) {
-        self.state.borrow_mut().forget(tag);
+        self.state.borrow_mut().remove_target(tag);
     }
 
     /// Whether a target with this identity is known.
