--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -144,7 +144,10 @@
         let Some(target) = target else {
             return;
         };
-        let ejected = self.state.borrow_mut().note_reported(&target, outcome, now);
+        let ejected = self
+            .state
+            .borrow_mut()
+            .record_peer_outcome(&target, outcome, now);
         if ejected {
             self.metrics.add("ejections", &target.service, 1);
             let line = self.journal.line("target_ejected");
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -412,7 +412,7 @@
     }
 
     /// Records an outcome that another router reported; true if the target is ejected by it.
-    pub(crate) fn note_reported(
+    pub(crate) fn record_peer_outcome(
         &mut self,
         target: &Target,
         outcome: Outcome,
