--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -340,7 +340,7 @@
     /// Notes how an exchange with a target went.
     pub fn note(&self, target: &Target, outcome: Outcome) {
         let now = self.now();
-        let ejected = self.state.borrow_mut().note(target, outcome, now);
+        let ejected = self.state.borrow_mut().record_outcome(target, outcome, now);
         if ejected {
             self.pool.close(target.tag());
             self.metrics.add("ejections", &target.service, 1);
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -395,7 +395,12 @@
     }
 
     /// Records an outcome of this router's own exchange; true if the target is ejected by it.
-    pub(crate) fn note(&mut self, target: &Target, outcome: Outcome, now: Duration) -> bool {
+    pub(crate) fn record_outcome(
+        &mut self,
+        target: &Target,
+        outcome: Outcome,
+        now: Duration,
+    ) -> bool {
         self.mark_if_unreachable(target, outcome, now);
         if outcome == Outcome::Good {
             self.backoffs.record_running(target.tag(), now);
