--- a/crates/path/src/exchange.rs
+++ b/crates/path/src/exchange.rs
@@ -213,7 +213,7 @@
     fn wish(self, state: &State, cell: Cell, failed: Option<Tag>, until: Duration) -> PlaceRequest {
         let customer = self.customer();
         let Self { node, job, .. } = self;
-        let mut avoid = state.avoided(cell, node.now());
+        let mut avoid = state.ejected_targets(cell, node.now());
         avoid.extend(failed);
         PlaceRequest {
             cell,
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -429,7 +429,7 @@
     }
 
     /// Targets of a cell that are ejected at this router.
-    pub(crate) fn avoided(&self, cell: Cell, now: Duration) -> Vec<Tag> {
+    pub(crate) fn ejected_targets(&self, cell: Cell, now: Duration) -> Vec<Tag> {
         let targets = self.registry.targets_of_cell(cell);
         let tags = targets.iter().map(|it| it.tag());
         tags.filter(|it| self.health.is_ejected(*it, now)).collect()
