--- a/crates/path/src/lease.rs
+++ b/crates/path/src/lease.rs
@@ -256,7 +256,7 @@
             state.usage.end_prefill(tag, unread);
             state.usage.end(tag);
             if let (Giver::Own(_), Some(content)) = (self.giver, self.content) {
-                state.copies.end(content, tag);
+                state.in_flight.end(content, tag);
             }
         }
         let owner = node.state.borrow().members.owner(self.cell, node.now());
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -163,7 +163,7 @@
     /// Runs of this router that ended without an answer.
     pub(crate) cuts: Interruptions,
     /// Contents in flight for which this router granted places, and their targets.
-    pub(crate) copies: InFlight,
+    pub(crate) in_flight: InFlight,
     /// Contents that were answered to this router's clients.
     pub(crate) answered: Answered,
     /// Largest number of engines of a service seen when placing a prompt.
@@ -218,7 +218,7 @@
             quarantine: Ledger::new(),
             quarantine_known: false,
             cuts: Interruptions::new(),
-            copies: InFlight::new(),
+            in_flight: InFlight::new(),
             answered: Answered::new(),
             engines_seen: 0,
         }
@@ -230,7 +230,7 @@
         self.usage.prune(now);
         self.quarantine.prune(now);
         self.peak.record(self.members.count(), now);
-        self.copies.prune(now);
+        self.in_flight.prune(now);
         self.refused_contents.prune(now);
         self.expire_grants(now);
         let over = self.backoffs.prune(self.peer, now);
--- a/crates/path/src/state/leases.rs
+++ b/crates/path/src/state/leases.rs
@@ -27,7 +27,7 @@
         let grant = end.lease.grant;
         self.usage.end_for(peer, grant.tag, grant.unread);
         if let Some(content) = end.lease.content {
-            self.copies.end(content, grant.tag);
+            self.in_flight.end(content, grant.tag);
         }
         self.undo(end, now);
     }
@@ -42,7 +42,7 @@
     pub(crate) fn return_place(&mut self, peer: Peer, returned: &Return, now: Duration) {
         self.usage.end_for(peer, returned.tag, returned.unread);
         if let Some(content) = returned.content {
-            self.copies.end(content, returned.tag);
+            self.in_flight.end(content, returned.tag);
         }
         match (returned.refusal, returned.outcome) {
             (Some(refusal), _) => self
@@ -77,7 +77,7 @@
     pub(crate) fn expire_grants(&mut self, now: Duration) {
         for end in self.grants.expire(now) {
             if let Some(content) = end.lease.content {
-                self.copies.end(content, end.lease.grant.tag);
+                self.in_flight.end(content, end.lease.grant.tag);
             }
             self.undo(end, now);
         }
--- a/crates/path/src/state/placement.rs
+++ b/crates/path/src/state/placement.rs
@@ -210,7 +210,7 @@
             self.memory.record_sent(prefix, tag, now);
         }
         if let Some(content) = wish.content {
-            self.copies.begin(content, tag, now);
+            self.in_flight.begin(content, tag, now);
         }
         let charge = self.charge(wish, now);
         Place {
@@ -248,7 +248,7 @@
             self.memory.record_grant(prefix);
         }
         if let Some(content) = wish.content {
-            self.copies.begin(content, tag, now);
+            self.in_flight.begin(content, tag, now);
         }
         let charge = self.charge(wish, now);
         let grant = Grant {
--- a/crates/path/src/state/suspects.rs
+++ b/crates/path/src/state/suspects.rs
@@ -35,11 +35,11 @@
         if !is_suspect(content) {
             return targets;
         }
-        let runs_at = self.copies.target(content);
+        let runs_at = self.in_flight.target(content);
         if let Some(target) = targets.iter().find(|it| Some(it.tag()) == runs_at) {
             return vec![target];
         }
-        targets.retain(|it| !self.copies.contents_on(it.tag()).any(is_suspect));
+        targets.retain(|it| !self.in_flight.contents_on(it.tag()).any(is_suspect));
         let running = |it: &Arc<Target>| self.usage.total(it.tag()).running;
         let min_running = targets.iter().map(|it| running(it)).min();
         targets.retain(|it| Some(running(it)) == min_running);
@@ -54,7 +54,7 @@
         request: &PlaceRequest,
         candidates: &[Candidate],
     ) -> Option<Candidate> {
-        let runs_at = self.copies.target(request.content?)?;
+        let runs_at = self.in_flight.target(request.content?)?;
         let mut candidates = candidates.iter();
         let candidate = candidates.find(|it| it.target.tag() == runs_at);
         candidate.cloned()
--- a/crates/path/src/state/tests/suspects.rs
+++ b/crates/path/src/state/tests/suspects.rs
@@ -63,7 +63,7 @@
     );
     // The target of the first suspect runs no other content.
     assert_eq!(
-        fleet.owner.copies.contents_on(first).collect::<Vec<_>>(),
+        fleet.owner.in_flight.contents_on(first).collect::<Vec<_>>(),
         [ContentTag(1)]
     );
 }
@@ -85,7 +85,7 @@
     }
     let tag = fleet
         .owner
-        .copies
+        .in_flight
         .target(content)
         .expect("the content runs");
     let returned = Return {
@@ -99,7 +99,7 @@
     fleet.owner.confirm(Peer(1), &[1], NOW);
     fleet.owner.return_place(Peer(1), &returned, NOW);
     fleet.owner.withdraw(Peer(1), 2, NOW);
-    assert_eq!(fleet.owner.copies.target(content), Some(tag));
+    assert_eq!(fleet.owner.in_flight.target(content), Some(tag));
     fleet.owner.expire_grants(grants::LEASE_TIMEOUT);
-    assert_eq!(fleet.owner.copies.target(content), None);
+    assert_eq!(fleet.owner.in_flight.target(content), None);
 }
