--- a/crates/path/src/cut.rs
+++ b/crates/path/src/cut.rs
@@ -48,8 +48,8 @@
             return;
         }
         state.answered.forget(content);
-        let asked = state.cuts.has_open(tag);
-        (asked, state.cuts.record(content, tag, cell, now))
+        let asked = state.interruptions.has_open(tag);
+        (asked, state.interruptions.record(content, tag, cell, now))
     };
     tell(node, &[telling]);
     if !asked && how == Break::Closed {
@@ -99,7 +99,11 @@
 }
 
 fn settle(node: &Node, target: &Target, fate: Resolution) {
-    let settled = node.state.borrow_mut().cuts.resolve(target.tag(), fate);
+    let settled = node
+        .state
+        .borrow_mut()
+        .interruptions
+        .resolve(target.tag(), fate);
     if settled.is_empty() {
         return;
     }
@@ -131,7 +135,11 @@
 
 /// Tells once more what may have been lost on its way.
 pub(crate) fn tell_again(node: &Node) {
-    let again = node.state.borrow_mut().cuts.next_repeats(node.now());
+    let again = node
+        .state
+        .borrow_mut()
+        .interruptions
+        .next_repeats(node.now());
     for cell in again.chunk_by(|one, next| one.cell == next.cell) {
         let findings = cell.iter().map(|it| it.finding);
         send(node, cell[0].cell, findings.collect());
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -161,7 +161,7 @@
     /// Whether the store's quarantine records are known, from the store or from a peer.
     pub(crate) quarantine_known: bool,
     /// Runs of this router that ended without an answer.
-    pub(crate) cuts: Interruptions,
+    pub(crate) interruptions: Interruptions,
     /// Contents in flight for which this router granted places, and their targets.
     pub(crate) in_flight: InFlight,
     /// Contents that were answered to this router's clients.
@@ -217,7 +217,7 @@
             grants: Grants::new(settings.share_window),
             quarantine: Ledger::new(),
             quarantine_known: false,
-            cuts: Interruptions::new(),
+            interruptions: Interruptions::new(),
             in_flight: InFlight::new(),
             answered: Answered::new(),
             engines_seen: 0,
