--- a/crates/path/src/admission.rs
+++ b/crates/path/src/admission.rs
@@ -104,7 +104,7 @@
     let returning = {
         let mut state = node.state.borrow_mut();
         state.budget.record_request(&service, now);
-        state.tries.record(&route.name, left, route.timeout)
+        state.retries.record(&route.name, left, route.timeout)
     };
     Job {
         id: call.id,
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -234,7 +234,7 @@
         self.tell_unknown_regions(&table);
         {
             let mut state = self.state.borrow_mut();
-            state.tries.retain(|name| table.serves(name));
+            state.retries.retain(|name| table.serves(name));
             state.table = Some(table);
         }
         let line = self.journal.line("configuration_taken");
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -143,7 +143,7 @@
     /// When cells of other regions last had no room for a customer's request from this router.
     full_cells: HashMap<(Cell, Option<CustomerTag>), Duration>,
     /// Detects retries by the timeouts that clients send.
-    pub(crate) tries: Detector,
+    pub(crate) retries: Detector,
     /// Contents of requests that got no place in this router's cells, by which the owner detects
     /// retries.
     pub(crate) refused_contents: Contents,
@@ -204,7 +204,7 @@
             round_trips: RoundTrips::default(),
             region: settings.regions.of(&settings.domain),
             full_cells: HashMap::new(),
-            tries: Detector::new(),
+            retries: Detector::new(),
             refused_contents: Contents::default(),
             membership: Membership::new(
                 descriptor.clone(),
