--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -140,7 +140,7 @@
     let now = node.now();
     let effects = {
         let mut state = node.state.borrow_mut();
-        state.reach.record_packet(&card.domain, now);
+        state.reachability.record_packet(&card.domain, now);
         state.membership.receive(packet, now)
     };
     carry_out(node, effects);
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -333,7 +333,7 @@
     pub fn doubtful(&self, target: &Target) -> bool {
         self.state
             .borrow()
-            .reach
+            .reachability
             .may_be_partitioned(&target.domain, self.now())
     }
 
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -135,7 +135,7 @@
     peer: Peer,
     pub(crate) budget: Budget,
     pub(crate) shares: Shares,
-    pub(crate) reach: Reachability,
+    pub(crate) reachability: Reachability,
     /// Round-trip times to the failure domains of other routers.
     pub(crate) round_trips: RoundTrips,
     /// Region of this router.
@@ -200,7 +200,7 @@
             peer,
             budget: Budget::new(settings.repeats),
             shares: Shares::new(settings.share_window),
-            reach: Reachability::new(settings.report_interval),
+            reachability: Reachability::new(settings.report_interval),
             round_trips: RoundTrips::default(),
             region: settings.regions.of(&settings.domain),
             full_cells: HashMap::new(),
@@ -258,7 +258,7 @@
             if !self.members.is_leaving(*address)
                 && let Some(domain) = self.members.domain(*address)
             {
-                self.reach.record_miss(&domain);
+                self.reachability.record_miss(&domain);
             }
         }
     }
