--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -114,7 +114,7 @@
         let loads = work.loads.iter().map(|it| (it.tag, it.load));
         state.usage.apply_report(peer, loads, now);
         for used in &work.uses {
-            state.memory.record_use(*used, now);
+            state.prefixes.record_use(*used, now);
         }
         state.confirm(peer, &work.accepted, now);
         for (tag, refusal) in &work.refusals {
@@ -251,7 +251,7 @@
             }
         }
         let mut owners = HashSet::new();
-        let recent = state.memory.recent(USES_TOLD, now);
+        let recent = state.prefixes.recent(USES_TOLD, now);
         let refusals: Vec<_> = state.backoffs.backoffs_for(node.peer, now).collect();
         for (cell, targets) in state.registry.all_cells() {
             let owner = state.members.owner(cell, now);
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -125,7 +125,7 @@
     /// Position in the store's log up to which the list is complete.
     pub(crate) registry_position: Option<Position>,
     pub(crate) usage: Usage,
-    pub(crate) memory: History,
+    pub(crate) prefixes: History,
     /// Contents of engines' prefix caches, as reported by the engines of this router's cells.
     pub(crate) caches: Caches,
     pub(crate) health: Health,
@@ -193,7 +193,7 @@
             registry_reads: Readings::new(peer),
             registry_position: None,
             usage: Usage::new(),
-            memory: History::new(),
+            prefixes: History::new(),
             caches: Caches::new(),
             health: Health::new(),
             backoffs: Backoffs::default(),
@@ -387,7 +387,7 @@
 
     /// Removes the state of a target that has terminated.
     pub(crate) fn remove_target(&mut self, tag: Tag) {
-        self.memory.remove_target(tag);
+        self.prefixes.remove_target(tag);
         self.caches.remove_target(tag);
         self.health.forget(tag);
         self.reported_health.forget(tag);
--- a/crates/path/src/state/candidates.rs
+++ b/crates/path/src/state/candidates.rs
@@ -48,7 +48,7 @@
                 load: self.usage.total(tag),
                 local: target.domain == request.domain,
                 assumed_cached: prefix
-                    .is_some_and(|it| self.memory.is_cached(it, tag, retention, now)),
+                    .is_some_and(|it| self.prefixes.is_cached(it, tag, retention, now)),
                 prefix_match: prompt.and_then(|it| self.caches.prefix_match(tag, it, now)),
             }
         });
--- a/crates/path/src/state/leases.rs
+++ b/crates/path/src/state/leases.rs
@@ -67,7 +67,7 @@
             };
             let lease = self.grants.confirm(request);
             if let Some(prefix) = lease.and_then(|it| it.prefix) {
-                self.memory.confirm_grant(prefix, now);
+                self.prefixes.confirm_grant(prefix, now);
             }
         }
     }
@@ -88,7 +88,7 @@
     fn undo(&mut self, end: End, now: Duration) {
         self.refund(end.lease.charge, now);
         if let Some(prefix) = end.lease.prefix.filter(|_| !end.confirmed) {
-            self.memory.cancel_grant(prefix);
+            self.prefixes.cancel_grant(prefix);
         }
     }
 
--- a/crates/path/src/state/placement.rs
+++ b/crates/path/src/state/placement.rs
@@ -207,7 +207,7 @@
             self.caches.record_sent(tag, prompt, now);
         }
         if let Some(prefix) = wish.prompt.as_deref().and_then(Prompt::prefix) {
-            self.memory.record_sent(prefix, tag, now);
+            self.prefixes.record_sent(prefix, tag, now);
         }
         if let Some(content) = wish.content {
             self.in_flight.begin(content, tag, now);
@@ -245,7 +245,7 @@
         let prefix = wish.prompt.as_deref().and_then(Prompt::prefix);
         let prefix = prefix.map(|it| Use::new(it, tag));
         if let Some(prefix) = prefix {
-            self.memory.record_grant(prefix);
+            self.prefixes.record_grant(prefix);
         }
         if let Some(content) = wish.content {
             self.in_flight.begin(content, tag, now);
@@ -283,7 +283,7 @@
     pub(crate) fn accept_grant(&mut self, wish: &PlaceRequest, grant: &Grant, now: Duration) {
         self.usage.begin(grant.tag, grant.unread);
         if let Some(prefix) = wish.prompt.as_deref().and_then(Prompt::prefix) {
-            self.memory.record_sent(prefix, grant.tag, now);
+            self.prefixes.record_sent(prefix, grant.tag, now);
         }
     }
 
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -550,7 +550,7 @@
     let now = Duration::from_millis(10);
     let is_cached = |fleet: &Fleet, tag| {
         let retention = Duration::from_secs(5);
-        fleet.owner.memory.is_cached(prefix, tag, retention, now)
+        fleet.owner.prefixes.is_cached(prefix, tag, retention, now)
     };
     let tags = [1, 2, 3].map(|number| grant(&mut fleet, number));
     assert!(
