--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -138,7 +138,10 @@
         };
         let now = self.now();
         if lost {
-            self.state.borrow_mut().cold.mark_uncertain(tag, now);
+            self.state
+                .borrow_mut()
+                .cold_limiter
+                .mark_uncertain(tag, now);
         }
         let target = self.state.borrow().registry.get(tag).cloned();
         let Some(target) = target else {
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -117,7 +117,7 @@
     /// Failure domains whose targets get no requests.
     pub(crate) evacuations: Evacuations,
     /// Rate limits of cold targets.
-    pub(crate) cold: Limiter,
+    pub(crate) cold_limiter: Limiter,
     /// Largest recent number of known routers.
     peak: Peak,
     /// Readings of the list of targets in the store.
@@ -185,7 +185,7 @@
             compared: false,
             store: Era::default(),
             evacuations: Evacuations::default(),
-            cold: Limiter::default(),
+            cold_limiter: Limiter::default(),
             peak: Peak::default(),
             registry: Registry::new()
                 .with_cell_targets(settings.cell_targets)
@@ -309,7 +309,7 @@
         if self.registry.read_at() == Some(list.as_of) {
             self.registry_position = list.position;
             let listed = self.registry.listed().map(AsRef::as_ref);
-            self.cold.apply_list(listed, list.as_of);
+            self.cold_limiter.apply_list(listed, list.as_of);
         }
         changes
     }
@@ -330,7 +330,7 @@
         self.registry_position = Some(end);
         let written = delta.written.clone();
         let changes = self.registry.apply_delta(delta, as_of);
-        self.cold.apply_changes(&written, as_of);
+        self.cold_limiter.apply_changes(&written, as_of);
         Some(changes)
     }
 
@@ -346,7 +346,7 @@
         let changes = self
             .registry
             .apply_peer_delta(told.delta, told.settled, as_of);
-        self.cold.apply_changes(&written, as_of);
+        self.cold_limiter.apply_changes(&written, as_of);
         changes
     }
 
@@ -372,7 +372,7 @@
                 continue;
             };
             for tag in cold_start::tags_in_domain(self.registry.targets(), domain) {
-                self.cold.mark_uncertain(tag, now);
+                self.cold_limiter.mark_uncertain(tag, now);
             }
         }
         changes
@@ -412,7 +412,7 @@
     /// Marks an unreachable target as uncertain, as it may have restarted and be cold.
     fn mark_if_unreachable(&mut self, target: &Target, outcome: Outcome, now: Duration) {
         if outcome == Outcome::Unreachable {
-            self.cold.mark_uncertain(target.tag(), now);
+            self.cold_limiter.mark_uncertain(target.tag(), now);
         }
     }
 
--- a/crates/path/src/state/candidates.rs
+++ b/crates/path/src/state/candidates.rs
@@ -85,9 +85,9 @@
         candidates.retain(|it| {
             let tag = it.target.tag();
             if exclude_cold {
-                !self.cold.is_cold(tag, now)
+                !self.cold_limiter.is_cold(tag, now)
             } else {
-                self.cold.allows(tag, bound, rate_share, now)
+                self.cold_limiter.allows(tag, bound, rate_share, now)
             }
         });
     }
--- a/crates/path/src/state/placement.rs
+++ b/crates/path/src/state/placement.rs
@@ -201,7 +201,7 @@
     ) -> Place {
         let tag = choice.target.tag();
         self.usage.begin(tag, choice.unread);
-        self.cold.record_request(tag, now);
+        self.cold_limiter.record_request(tag, now);
         self.backoffs.record_sent(tag, now);
         if let Some(prompt) = wish.prompt.as_deref() {
             self.caches.record_sent(tag, prompt, now);
@@ -237,7 +237,7 @@
         let Asker { peer, number, .. } = asker;
         let tag = choice.target.tag();
         self.usage.begin_for(peer, tag, choice.unread, now);
-        self.cold.record_request(tag, now);
+        self.cold_limiter.record_request(tag, now);
         self.backoffs.record_sent(tag, now);
         if let Some(prompt) = wish.prompt.as_deref() {
             self.caches.record_sent(tag, prompt, now);
