--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -186,7 +186,7 @@
     news.wanted = news.wanted.with(Part::Evacuations, evacuations);
     let version = state.table.as_ref().map_or(0, |it| it.version());
     let known = (1..=version).contains(&views.configuration);
-    state.compared |= known && !unknown;
+    state.compared_with_peer |= known && !unknown;
     let newer = views.configuration > version;
     news.wanted = news.wanted.with(Part::Configuration, newer);
     if version > 0 && views.configuration == version && !differs {
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -211,7 +211,7 @@
         let known = state.table.is_some() && state.registry.read_at().is_some();
         // What the others refuse must not find the one router that has not heard of it yet.
         let known = known && (state.quarantine_known || self.now() >= UNHEARD);
-        let known = known && (state.compared || self.alone() || self.now() >= UNCOMPARED);
+        let known = known && (state.compared_with_peer || self.alone() || self.now() >= UNCOMPARED);
         let sound = self.leaving().is_none() && !self.strain.behind();
         drop(state);
         known && sound && self.confirmed_since_wake()
--- a/crates/path/src/state.rs
+++ b/crates/path/src/state.rs
@@ -111,7 +111,7 @@
     pub(crate) configuration_reads: Readings,
     pub(crate) registry: Registry,
     /// Whether a peer was found to have neither a newer configuration nor an unknown evacuation.
-    pub(crate) compared: bool,
+    pub(crate) compared_with_peer: bool,
     /// Newest known era of the store.
     pub(crate) store: Era,
     /// Failure domains whose targets get no requests.
@@ -182,7 +182,7 @@
         Self {
             table: None,
             configuration_reads: Readings::new(peer),
-            compared: false,
+            compared_with_peer: false,
             store: Era::default(),
             evacuations: Evacuations::default(),
             cold_limiter: Limiter::default(),
