--- a/crates/path/src/state/placement.rs
+++ b/crates/path/src/state/placement.rs
@@ -26,17 +26,17 @@
 
 impl State {
     /// Records the tokens of a request as demand, unless that was done before.
-    pub(crate) fn record_demand(&mut self, wish: &PlaceRequest, now: Duration) {
-        if let Some(customer) = wish.customer
-            && !wish.demand_counted
+    pub(crate) fn record_demand(&mut self, request: &PlaceRequest, now: Duration) {
+        if let Some(customer) = request.customer
+            && !request.demand_counted
         {
-            self.shares.record_demand(customer, wish.cost, now);
+            self.shares.record_demand(customer, request.cost, now);
         }
     }
 
     /// Whether requests for the same cell are queued.
-    pub(crate) fn has_queued(&self, wish: &PlaceRequest) -> bool {
-        self.queue.iter().any(|it| it.wish.cell == wish.cell)
+    pub(crate) fn has_queued(&self, request: &PlaceRequest) -> bool {
+        self.queue.iter().any(|it| it.wish.cell == request.cell)
     }
 
     /// Answers another router's request with a place, or with the state of the queue.
@@ -83,14 +83,15 @@
     }
 
     /// Whether a request is a retry of one that got no place here.
-    pub(crate) fn is_retry(&self, wish: &PlaceRequest, now: Duration) -> bool {
-        wish.content
+    pub(crate) fn is_retry(&self, request: &PlaceRequest, now: Duration) -> bool {
+        request
+            .content
             .is_some_and(|it| self.refused_contents.contains(it, now))
     }
 
     /// Records that a request got no place.
-    pub(crate) fn record_refused(&mut self, wish: &PlaceRequest, now: Duration) {
-        if let Some(content) = wish.content {
+    pub(crate) fn record_refused(&mut self, request: &PlaceRequest, now: Duration) {
+        if let Some(content) = request.content {
             self.refused_contents.insert(content, now);
         }
     }
@@ -111,42 +112,42 @@
     }
 
     /// Ratio of the share of the request's customer to its usage; 1 or more within the share.
-    pub(crate) fn share_ratio(&mut self, wish: &PlaceRequest, now: Duration) -> f64 {
-        let Some(customer) = wish.customer else {
+    pub(crate) fn share_ratio(&mut self, request: &PlaceRequest, now: Duration) -> f64 {
+        let Some(customer) = request.customer else {
             return 1.0;
         };
-        self.shares.share_ratio(customer, wish.cost, now)
+        self.shares.share_ratio(customer, request.cost, now)
     }
 
     /// Selects a target for a request; none if there is no room for it.
     pub(crate) fn choose(
         &mut self,
         settings: &Settings,
-        wish: &PlaceRequest,
+        request: &PlaceRequest,
         share_ratio: f64,
         now: Duration,
     ) -> Option<Choice> {
-        if self.is_blocked(wish, now) {
+        if self.is_blocked(request, now) {
             return None;
         }
-        let prompt = wish.prompt.as_deref();
+        let prompt = request.prompt.as_deref();
         let table = self.table.clone()?;
-        let targets = self.registry.targets_of_cell(wish.cell);
+        let targets = self.registry.targets_of_cell(request.cell);
         let service = targets.first().map(|it| it.service.clone())?;
         let engines = self.registry.targets_of_service(&service).len();
-        if wish.prompt.is_some() {
+        if request.prompt.is_some() {
             self.engines_seen = self.engines_seen.max(engines);
         }
         #[expect(clippy::cast_precision_loss, reason = "a few hundred targets")]
         let rate = table.limits().tokens_per_second / self.engines_seen.max(1) as f64;
         let engine = table.service(&service).and_then(|it| it.engine);
         let retention = prefix::retention(engine.map_or(0, |it| it.memory_tokens), rate);
-        let mut candidates = self.candidates(wish, retention, now);
-        self.limit_cold(settings, wish, &service, &mut candidates, now);
-        let in_flight = self.in_flight_candidate(wish, &candidates);
+        let mut candidates = self.candidates(request, retention, now);
+        self.limit_cold(settings, request, &service, &mut candidates, now);
+        let in_flight = self.in_flight_candidate(request, &candidates);
         let criteria = Criteria {
             prompt,
-            objective: wish.objective,
+            objective: request.objective,
             rate,
             fetch_seconds: engine.and_then(|it| it.fetch_seconds),
             // A request beyond its customer's share fetches no prefix from another cache, as the
@@ -154,13 +155,13 @@
             // of the worth that they asked for, and 0.895 without these (mean of five days of high
             // load).
             allow_fetch: share_ratio >= 1.0,
-            waited: now.saturating_sub(wish.arrived),
-            allow_miss: now >= wish.arrived + wish.objective.mul_f64(settings.patience.miss),
-            capacity_share: self.capacity_share(settings, wish, share_ratio),
+            waited: now.saturating_sub(request.arrived),
+            allow_miss: now >= request.arrived + request.objective.mul_f64(settings.patience.miss),
+            capacity_share: self.capacity_share(settings, request, share_ratio),
             // A customer far below its share may recompute prefixes more, as others may use all
             // room at the targets that cache its prefixes.
             miss_capacity_scale: share_ratio.max(1.0),
-            tie_breaker: wish.tie_breaker,
+            tie_breaker: request.tie_breaker,
         };
         let policy = &settings.policy;
         let choice = in_flight.and_then(|it| placement::choose(policy, &criteria, &[it]));
@@ -169,9 +170,9 @@
     }
 
     /// Ratio of the capacity that a request may use, 0 to 1.
-    fn capacity_share(&self, settings: &Settings, wish: &PlaceRequest, share_ratio: f64) -> f64 {
+    fn capacity_share(&self, settings: &Settings, request: &PlaceRequest, share_ratio: f64) -> f64 {
         let patience = &settings.patience;
-        let share = match (share_ratio < 1.0, wish.is_retry) {
+        let share = match (share_ratio < 1.0, request.is_retry) {
             (false, _) => 1.0,
             // Squared, because the customer with the most requests gets most of the remaining room
             // at full targets.
@@ -184,7 +185,7 @@
             (true, true) => patience.over_share * share_ratio * share_ratio * patience.again,
         };
         #[expect(clippy::cast_precision_loss, reason = "a few hundred routers")]
-        let claimed = match wish.claim {
+        let claimed = match request.claim {
             Claim::All => 1.0,
             Claim::Own => 1.0 / self.members.count() as f64,
         };
@@ -194,7 +195,7 @@
     /// Grants a place to a request of this router's clients.
     pub(crate) fn grant_place(
         &mut self,
-        wish: &PlaceRequest,
+        request: &PlaceRequest,
         choice: Choice,
         own: SocketAddr,
         now: Duration,
@@ -203,26 +204,26 @@
         self.usage.begin(tag, choice.unread);
         self.cold_limiter.record_request(tag, now);
         self.backoffs.record_sent(tag, now);
-        if let Some(prompt) = wish.prompt.as_deref() {
+        if let Some(prompt) = request.prompt.as_deref() {
             self.caches.record_sent(tag, prompt, now);
         }
-        if let Some(prefix) = wish.prompt.as_deref().and_then(Prompt::prefix) {
+        if let Some(prefix) = request.prompt.as_deref().and_then(Prompt::prefix) {
             self.prefixes.record_sent(prefix, tag, now);
         }
-        if let Some(content) = wish.content {
+        if let Some(content) = request.content {
             self.in_flight.begin(content, tag, now);
         }
-        let charge = self.charge(wish, now);
+        let charge = self.charge(request, now);
         Place {
             target: choice.target,
-            cell: wish.cell,
+            cell: request.cell,
             unread: choice.unread,
             hit: choice.hit,
             fetch: choice.fetch.map(|it| it.address),
             owner: own,
             giver: Giver::Own(charge),
-            content: wish.content,
-            standing: self.standing(wish, now),
+            content: request.content,
+            standing: self.standing(request, now),
         }
     }
 
@@ -230,7 +231,7 @@
     pub(crate) fn grant_to_peer(
         &mut self,
         asker: Asker,
-        wish: &PlaceRequest,
+        request: &PlaceRequest,
         choice: &Choice,
         now: Duration,
     ) -> Grant {
@@ -239,50 +240,50 @@
         self.usage.begin_for(peer, tag, choice.unread, now);
         self.cold_limiter.record_request(tag, now);
         self.backoffs.record_sent(tag, now);
-        if let Some(prompt) = wish.prompt.as_deref() {
+        if let Some(prompt) = request.prompt.as_deref() {
             self.caches.record_sent(tag, prompt, now);
         }
-        let prefix = wish.prompt.as_deref().and_then(Prompt::prefix);
+        let prefix = request.prompt.as_deref().and_then(Prompt::prefix);
         let prefix = prefix.map(|it| Use::new(it, tag));
         if let Some(prefix) = prefix {
             self.prefixes.record_grant(prefix);
         }
-        if let Some(content) = wish.content {
+        if let Some(content) = request.content {
             self.in_flight.begin(content, tag, now);
         }
-        let charge = self.charge(wish, now);
+        let charge = self.charge(request, now);
         let grant = Grant {
             number,
             tag,
             unread: choice.unread,
             hit: choice.hit,
             fetch: choice.fetch.as_ref().map(|it| it.tag()),
-            standing: self.standing(wish, now),
+            standing: self.standing(request, now),
         };
         let lease = grants::Lease {
             grant,
             charge,
             prefix,
-            content: wish.content,
+            content: request.content,
         };
         self.grants.insert(RequestId { peer, number }, lease, now);
         grant
     }
 
-    fn charge(&mut self, wish: &PlaceRequest, now: Duration) -> Option<Charge> {
-        let customer = wish.customer?;
-        Some(self.shares.charge(customer, wish.cost, now))
+    fn charge(&mut self, request: &PlaceRequest, now: Duration) -> Option<Charge> {
+        let customer = request.customer?;
+        Some(self.shares.charge(customer, request.cost, now))
     }
 
-    fn standing(&mut self, wish: &PlaceRequest, now: Duration) -> Option<Standing> {
-        let customer = wish.customer?;
+    fn standing(&mut self, request: &PlaceRequest, now: Duration) -> Option<Standing> {
+        let customer = request.customer?;
         Some(self.shares.standing(customer, now))
     }
 
     /// Records that this router uses a place that another router granted.
-    pub(crate) fn accept_grant(&mut self, wish: &PlaceRequest, grant: &Grant, now: Duration) {
+    pub(crate) fn accept_grant(&mut self, request: &PlaceRequest, grant: &Grant, now: Duration) {
         self.usage.begin(grant.tag, grant.unread);
-        if let Some(prefix) = wish.prompt.as_deref().and_then(Prompt::prefix) {
+        if let Some(prefix) = request.prompt.as_deref().and_then(Prompt::prefix) {
             self.prefixes.record_sent(prefix, grant.tag, now);
         }
     }
--- a/crates/path/src/state/tests.rs
+++ b/crates/path/src/state/tests.rs
@@ -305,10 +305,10 @@
     fn request(&mut self, number: u64, now: Duration) {
         let request = self.requests[&number];
         let arrived = now.saturating_sub(LINK_DELAY);
-        let draw = self.random.random();
+        let tie_breaker = self.random.random();
         let place_request = PlaceRequest {
             is_retry: self.mark_as_retries,
-            ..place_request(request.customer, arrived, draw)
+            ..place_request(request.customer, arrived, tie_breaker)
         };
         let asker = asker(request.router, number);
         let answer = self.owner.answer(&self.settings, asker, place_request, now);
@@ -425,7 +425,7 @@
 }
 
 /// The request for a place of a customer's request that arrived at a router.
-fn place_request(customer: usize, arrived: Duration, draw: u64) -> PlaceRequest {
+fn place_request(customer: usize, arrived: Duration, tie_breaker: u64) -> PlaceRequest {
     let prompt = Prompt {
         tokens: PROMPT_TOKENS,
         answer_tokens: 0,
@@ -455,7 +455,7 @@
         avoid: Vec::new(),
         deadline: arrived + OBJECTIVE.mul_f64(Patience::default().first),
         claim: Claim::All,
-        tie_breaker: draw,
+        tie_breaker,
     }
 }
 
