--- a/crates/kernel/src/kernel/link.rs
+++ b/crates/kernel/src/kernel/messages.rs
@@ -1,8 +1,8 @@
-//! Messages in and out, membership and rounds.
+//! Messages to and from other routers, membership, account rounds and draining.
 
 use std::sync::Arc;
 
-use super::{Kernel, Mail};
+use super::{Batch, Kernel};
 use crate::action::Action;
 use crate::key::Key;
 use crate::member::{Heard, Listed};
@@ -14,7 +14,7 @@
 use crate::time::Instant;
 
 impl Kernel {
-    pub(super) fn list(&mut self, now: Instant, listed: &[Listed]) {
+    pub(super) fn apply_listing(&mut self, now: Instant, listed: &[Listed]) {
         self.view.list(listed);
         self.view.prune(now);
     }
@@ -32,16 +32,17 @@
                 self.dropped.stale_messages += messages.len() as u64;
                 return;
             }
-            Heard::Restarted => self.forget_router(now, from),
+            Heard::Restarted => self.discard_router(now, from),
             Heard::Same | Heard::Back => {}
         }
         for message in messages {
-            self.take(now, from, message);
+            self.handle_message(now, from, message);
         }
     }
 
-    /// What a router held ended with its run; what it owned it knows nothing of.
-    fn forget_router(&mut self, now: Instant, router: Key) {
+    /// Handles the restart of a router: its holdings ended with its earlier run, and as an
+    /// owner it has lost the record of its grants.
+    fn discard_router(&mut self, now: Instant, router: Key) {
         self.owner.forget(router);
         if let Some(table) = self.table.clone() {
             self.holder
@@ -49,7 +50,7 @@
         }
     }
 
-    fn take(&mut self, now: Instant, from: Key, message: Message) {
+    fn handle_message(&mut self, now: Instant, from: Key, message: Message) {
         let Some(table) = self.table.clone() else {
             return;
         };
@@ -58,7 +59,7 @@
                 self.with_rounds(now, &table, |rounds, scope| {
                     rounds.down(now, from, down, scope);
                 });
-                self.orders.clear();
+                self.owner_orders.clear();
             }
             Message::Up(up) => {
                 self.with_rounds(now, &table, |rounds, scope| {
@@ -74,7 +75,7 @@
                 self.with_rounds(now, &table, |rounds, scope| rounds.probed(from, scope));
             }
             Message::Want(want) => self.owner.want(&table, from, &want),
-            Message::Grant(grant) => self.take_grant(now, &table, from, &grant),
+            Message::Grant(grant) => self.apply_grant(now, &table, from, &grant),
             Message::Hold(hold) => match table.target_by_key(hold.target) {
                 Some(target) => self.owner.hold(now, from, target, &hold),
                 None => self.dropped.unknown_names += 1,
@@ -90,7 +91,7 @@
         }
     }
 
-    fn take_grant(&mut self, now: Instant, table: &Arc<Table>, from: Key, grant: &Grant) {
+    fn apply_grant(&mut self, now: Instant, table: &Arc<Table>, from: Key, grant: &Grant) {
         let Some(target) = table.target_by_key(grant.target) else {
             self.dropped.unknown_names += 1;
             return;
@@ -101,7 +102,8 @@
         }
         self.dropped.void_grants += 1;
         if owner != from {
-            // Not the owner in our view: give it all back, so that nothing leaks there.
+            // The sender is not the owner in this router's view: state that nothing is held, so
+            // that no slot leaks at the sender.
             let hold = Hold {
                 target: grant.target,
                 stamp: self.holder.next_stamp(),
@@ -113,12 +115,12 @@
         }
     }
 
-    /// Runs a part of the rounds with what it may touch.
+    /// Calls the rounds with the state that they use.
     fn with_rounds(
         &mut self,
         now: Instant,
         table: &Table,
-        work: impl FnOnce(&mut crate::round::Rounds, &mut Scope<'_>),
+        call: impl FnOnce(&mut crate::round::Rounds, &mut Scope<'_>),
     ) {
         let mut scope = Scope {
             settings: &self.settings,
@@ -128,7 +130,7 @@
             spare: self.owner.spare(now, table),
             outbox: &mut self.outbox,
         };
-        work(&mut self.rounds, &mut scope);
+        call(&mut self.rounds, &mut scope);
     }
 
     pub(super) fn run_rounds(&mut self, now: Instant, table: &Table) {
@@ -136,24 +138,25 @@
         if self.settings.admission == Admission::Owner && due {
             self.mark_overdue(now, table);
             self.with_rounds(now, table, |rounds, scope| rounds.tick(now, scope));
-            self.orders.clear();
+            self.owner_orders.clear();
         }
     }
 
-    /// Notes whose requests have waited here for a round or longer.
+    /// Marks the accounts of customers whose requests have waited at this router for a round
+    /// or longer.
     fn mark_overdue(&mut self, now: Instant, table: &Table) {
         for (_, _, account) in self.book.all_mut() {
             account.overdue = false;
         }
         for (lane, lines) in self.queue.lanes() {
             for (customer, line) in lines {
-                let late = line.heads().any(|head| match self.requests.get(&head) {
+                let overdue = line.heads().any(|head| match self.requests.get(&head) {
                     Some(Life::Waiting(request)) => {
                         now.since(request.arrived) >= self.settings.round
                     }
                     _ => false,
                 });
-                if late {
+                if overdue {
                     let pool = table.pool(lane.service);
                     self.book.get_mut(pool, *customer).overdue = true;
                 }
@@ -161,66 +164,68 @@
         }
     }
 
-    /// Puts what the parts want to say into the mail; true when some was for us.
-    pub(super) fn post(&mut self, now: Instant) -> bool {
-        let mut own = false;
+    /// Moves outgoing messages into the batches of their receivers and handles those to
+    /// this router at once; true when there were any.
+    pub(super) fn deliver_outbox(&mut self, now: Instant) -> bool {
+        let mut handled = false;
         while !self.outbox.is_empty() {
             for (to, message) in std::mem::take(&mut self.outbox) {
-                if to == self.me {
-                    own = true;
-                    self.take(now, to, message);
+                if to == self.own_key {
+                    handled = true;
+                    self.handle_message(now, to, message);
                     continue;
                 }
-                let mail = self.mail.entry(to).or_insert_with(|| Mail {
+                let batch = self.batches.entry(to).or_insert_with(|| Batch {
                     since: now,
                     messages: Vec::new(),
                 });
-                mail.messages.push(message);
+                batch.messages.push(message);
             }
         }
-        own
+        handled
     }
 
-    pub(super) fn send_mail(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    pub(super) fn flush_batches(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let linger = self.settings.linger;
         let due: Vec<Key> = self
-            .mail
+            .batches
             .iter()
-            .filter(|(_, mail)| now >= mail.since + linger)
+            .filter(|(_, batch)| now >= batch.since + linger)
             .map(|(to, _)| *to)
             .collect();
         for to in due {
-            if let Some(mail) = self.mail.remove(&to) {
+            if let Some(batch) = self.batches.remove(&to) {
                 actions.push(Action::Send {
                     to,
-                    messages: mail.messages,
+                    messages: batch.messages,
                 });
             }
         }
     }
 
-    pub(super) fn drain(&mut self, now: Instant) {
+    pub(super) fn start_drain(&mut self, now: Instant) {
         if self.draining.is_some() {
             return;
         }
         self.draining = Some(now);
-        self.view.leave(self.me);
+        self.view.leave(self.own_key);
         let others: Vec<Key> = self.view.live().collect();
         for other in others {
             self.outbox.push((other, Message::Leaving));
         }
     }
 
-    /// Says once that nothing is left here, neither requests nor uncounted charges.
+    /// Reports once that the drain is complete: no request is left and, with owners, no
+    /// charge that the fleet's totals may lack.
     pub(super) fn finish_drain(&mut self, actions: &mut Vec<Action>) {
         if self.draining.is_none() || self.drained || !self.requests.is_empty() {
             return;
         }
-        let told = self
+        let charges_confirmed = self
             .book
             .all()
             .all(|(_, _, account)| account.unsent == 0 && account.sent == 0);
-        if told || self.settings.admission != Admission::Owner {
+        if charges_confirmed || self.settings.admission != Admission::Owner {
             self.drained = true;
             actions.push(Action::Drained);
         }
--- a/crates/kernel/src/kernel/mod.rs
+++ b/crates/kernel/src/kernel/mod.rs
@@ -1,13 +1,14 @@
-//! The step function that binds the parts.
+//! The kernel's step function.
 //!
-//! Every event is handled by the part it is for; then [`Kernel::step`] settles:
-//! it follows changes of membership and configuration, does what has become due,
-//! uses free slots, hands out owned ones, tells owners what is wanted, and sends
-//! what has been gathered. Settling after every event keeps the invariants of
-//! [`crate::verify`] true between steps.
+//! [`Kernel::step`] passes each event to its handler and then settles: it applies
+//! changes of membership and configuration, runs the timers that are due, dispatches
+//! requests on free slots, grants slots of owned targets, sends wants to owners, and
+//! flushes the message batches that are due. Settling after every event keeps the
+//! invariants of [`crate::verify`] true between steps. Progress events are the
+//! exception: they only charge an account.
 
-mod entry;
-mod link;
+mod messages;
+mod requests;
 mod slots;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -32,34 +33,34 @@
 use crate::table::Table;
 use crate::time::Instant;
 
-/// Passes over slots and wants in one step at most.
-const MOST_PASSES: usize = 16;
+/// Passes over slots and wants in one step.
+const MAX_SETTLE_PASSES: usize = 16;
 
-/// Counts of what a kernel dropped because it was late, doubled or unknown.
+/// Counts of events and messages dropped as late, duplicate or unknown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Dropped {
-    /// Events about attempts that are over.
+    /// Events about attempts that have ended.
     pub late_events: u64,
-    /// Messages of a sender's earlier run.
+    /// Messages from an earlier incarnation of the sender.
     pub stale_messages: u64,
-    /// Messages about names that this configuration does not have.
+    /// Messages with names that are not in this configuration.
     pub unknown_names: u64,
-    /// Grants that were doubled, overtaken or not from the owner.
+    /// Grants that were duplicate, out of order or not from the owner.
     pub void_grants: u64,
 }
 
-/// Messages gathered for one router.
+/// Messages batched for one router.
 #[derive(Debug)]
-struct Mail {
+struct Batch {
     since: Instant,
     messages: Vec<Message>,
 }
 
-/// One router's decisions.
+/// Decision state of one router.
 #[derive(Debug)]
 pub struct Kernel {
     settings: Settings,
-    me: Key,
+    own_key: Key,
     table: Option<Arc<Table>>,
     placement: Option<&'static Placement>,
     view: View,
@@ -75,27 +76,27 @@
     deadlines: BTreeSet<(Instant, Request)>,
     backoffs: BTreeSet<(Instant, Request)>,
     owners: BTreeMap<Target, Key>,
-    orders: BTreeMap<Lane, Vec<Key>>,
-    seen_version: Option<u64>,
+    owner_orders: BTreeMap<Lane, Vec<Key>>,
+    applied_version: Option<u64>,
     outbox: Vec<(Key, Message)>,
-    mail: BTreeMap<Key, Mail>,
+    batches: BTreeMap<Key, Batch>,
     sweep_at: Instant,
-    tell_at: Instant,
+    send_wants_at: Instant,
     draining: Option<Instant>,
     drained: bool,
     dropped: Dropped,
 }
 
 impl Kernel {
-    /// The kernel of a router that has just started.
+    /// A kernel without a configuration, requests or slots.
     #[must_use]
     pub fn new(settings: Settings, now: Instant) -> Self {
-        let me = Key::new(&settings.name);
+        let own_key = Key::new(&settings.name);
         let mut view = View::new();
         let domain = Key::new(&settings.domain);
-        view.hear(now, me, domain, settings.incarnation);
+        view.hear(now, own_key, domain, settings.incarnation);
         Self {
-            me,
+            own_key,
             table: None,
             placement: plugin::placement(&settings.placement),
             view,
@@ -103,7 +104,7 @@
             rounds: Rounds::new(&settings, now),
             queue: Queue::new(),
             requests: BTreeMap::new(),
-            owner: Owner::new(me),
+            owner: Owner::new(own_key),
             holder: Holder::new(),
             health: Health::new(),
             budget: Budget::new(),
@@ -111,12 +112,12 @@
             deadlines: BTreeSet::new(),
             backoffs: BTreeSet::new(),
             owners: BTreeMap::new(),
-            orders: BTreeMap::new(),
-            seen_version: None,
+            owner_orders: BTreeMap::new(),
+            applied_version: None,
             outbox: Vec::new(),
-            mail: BTreeMap::new(),
+            batches: BTreeMap::new(),
             sweep_at: now,
-            tell_at: now,
+            send_wants_at: now,
             draining: None,
             drained: false,
             dropped: Dropped::default(),
@@ -124,119 +125,120 @@
         }
     }
 
-    /// Takes one event and says what to do.
+    /// Handles one event and appends the resulting actions.
     pub fn step(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
         match event {
-            // A lost link alone proves nothing: rounds and statements find out what it meant.
+            // A lost link alone does not show that the peer failed: account rounds and
+            // hold statements determine that.
             Event::Tick | Event::LinkLost(_) => {}
             Event::Configured(table) => self.configure(table),
-            Event::Listed(listed) => self.list(now, &listed),
-            Event::Arrived(arrival) => self.arrive(now, arrival, actions),
-            Event::Left(request) => self.leave(now, request, actions),
+            Event::Listed(listed) => self.apply_listing(now, &listed),
+            Event::Arrived(arrival) => self.handle_arrival(now, arrival, actions),
+            Event::Left(request) => self.cancel_request(now, request, actions),
             Event::Progressed {
                 request,
                 attempt,
                 units,
             } => {
-                // Progress frees no slot and changes no queue: it is only charged.
-                self.progress(request, attempt, units);
+                // Progress frees no slot and changes no queue, so there is nothing to settle.
+                self.record_progress(request, attempt, units);
                 return;
             }
             Event::Ended {
                 request,
                 attempt,
                 outcome,
-            } => self.end(now, request, attempt, outcome, actions),
+            } => self.handle_end(now, request, attempt, outcome, actions),
             Event::Received {
                 from,
                 domain,
                 incarnation,
                 messages,
             } => self.receive(now, from, domain, incarnation, messages),
-            Event::Drain => self.drain(now),
+            Event::Drain => self.start_drain(now),
         }
         self.settle(now, actions);
     }
 
-    /// When the kernel wants a [`Event::Tick`] at the latest.
+    /// Latest time for the next [`Event::Tick`].
     #[must_use]
     pub fn wake_at(&self) -> Option<Instant> {
         self.table.as_ref()?;
-        let due = [
+        let timers = [
             (self.settings.admission == Admission::Owner)
                 .then(|| self.rounds.wake_at(&self.settings)),
             self.deadlines.first().map(|(at, _)| *at),
             self.backoffs.first().map(|(at, _)| *at),
             self.owner.opens_after(self.sweep_at),
-            self.mail
+            self.batches
                 .values()
-                .map(|mail| mail.since + self.settings.linger)
+                .map(|batch| batch.since + self.settings.linger)
                 .min(),
             self.needs_sweep().then_some(self.sweep_at),
         ];
-        due.into_iter().flatten().min()
+        timers.into_iter().flatten().min()
     }
 
-    /// The configuration in force here.
+    /// The configuration in force.
     #[must_use]
     pub const fn table(&self) -> Option<&Arc<Table>> {
         self.table.as_ref()
     }
 
-    /// The instances as seen here.
+    /// This router's view of the instances.
     #[must_use]
     pub const fn view(&self) -> &View {
         &self.view
     }
 
-    /// The accounts as known here.
+    /// The customers' accounts as known to this router.
     #[must_use]
     pub const fn book(&self) -> &Book {
         &self.book
     }
 
-    /// The requests waiting here.
+    /// Requests waiting at this router.
     #[must_use]
     pub const fn queue(&self) -> &Queue {
         &self.queue
     }
 
-    /// The slots held here.
+    /// Slots held by this router.
     #[must_use]
     pub const fn holder(&self) -> &Holder {
         &self.holder
     }
 
-    /// The targets owned here.
+    /// Targets owned by this router.
     #[must_use]
     pub const fn owner(&self) -> &Owner {
         &self.owner
     }
 
-    /// The rounds of accounts.
+    /// State of the account rounds.
     #[must_use]
     pub const fn rounds(&self) -> &Rounds {
         &self.rounds
     }
 
-    /// Every request here with its stage.
+    /// All requests at this router with their states.
     pub fn requests(&self) -> impl Iterator<Item = (Request, &Life)> {
         self.requests.iter().map(|(request, life)| (*request, life))
     }
 
-    /// The owner of a target as seen here.
+    /// Owner of a target in this router's view.
     #[must_use]
     pub fn owner_of(&self, target: Target) -> Option<Key> {
         self.owners.get(&target).copied()
     }
 
-    /// What was dropped.
+    /// Counts of dropped events and messages.
     #[must_use]
     pub const fn dropped(&self) -> Dropped {
         self.dropped
     }
 
-    /// The settings.
+    /// The settings given at the start.
     #[must_use]
     pub const fn settings(&self) -> &Settings {
         &self.settings
@@ -253,7 +255,7 @@
         self.book.resize(&table);
         self.rounds.revision = self.rounds.revision.max(table.revision);
         self.table = Some(table);
-        self.seen_version = None;
+        self.applied_version = None;
     }
 
     fn pool(&self, service: Service) -> Pool {
@@ -266,23 +268,23 @@
         let Some(table) = self.table.clone() else {
             return;
         };
-        self.follow_members(now, &table);
+        self.apply_membership(now, &table);
         self.run_rounds(now, &table);
         self.expire(now, &table, actions);
         self.end_backoffs(now);
-        self.sweep_when_due(now, &table);
-        // Messages to oneself come back at once, and may free or grant slots again; what
-        // is left after some passes waits for the next step.
-        for _ in 0..MOST_PASSES {
-            self.use_slots(now, &table, actions);
+        self.restate_when_due(now, &table);
+        // Messages to this router itself are handled at once and may free or grant more
+        // slots; what is left after the last pass waits for the next step.
+        for _ in 0..MAX_SETTLE_PASSES {
+            self.dispatch_waiting(now, &table, actions);
             self.owner
                 .fill(now, &table, &mut self.book, &mut self.outbox);
-            self.tell_wants(now, &table);
-            if !self.post(now) {
+            self.send_wants(now, &table);
+            if !self.deliver_outbox(now) {
                 break;
             }
         }
         self.finish_drain(actions);
-        self.send_mail(now, actions);
+        self.flush_batches(now, actions);
     }
 }
--- a/crates/kernel/src/kernel/entry.rs
+++ b/crates/kernel/src/kernel/requests.rs
@@ -1,4 +1,4 @@
-//! Callers' requests: from arrival to the last answer.
+//! Lifecycle of callers' requests, from arrival to the final answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,20 +15,25 @@
 use crate::time::Instant;
 use crate::verdict::{Failure, Refusal, Verdict};
 
-/// What a caller is told to wait when its queue is full or this router drains.
+/// Delay suggested to the caller after a refusal that may be temporary.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What failed, for the caller's last answer.
+/// Verdict and cause of a failed attempt.
 #[derive(Clone, Copy)]
-struct Broken {
+struct AttemptFailure {
     verdict: Verdict,
     failure: Failure,
 }
 
 impl Kernel {
-    pub(super) fn arrive(&mut self, now: Instant, arrival: Arrival, actions: &mut Vec<Action>) {
+    pub(super) fn handle_arrival(
+        &mut self,
+        now: Instant,
+        arrival: Arrival,
+        actions: &mut Vec<Action>,
+    ) {
         let request = arrival.request;
-        if let Err(refusal) = self.admit(&arrival) {
+        if let Err(refusal) = self.check_admission(&arrival) {
             actions.push(Action::Refuse {
                 request,
                 refusal,
@@ -49,12 +54,12 @@
         self.deadlines.insert((deadline, request));
         let waiting = request::Request::new(arrival, now);
         self.enqueue(&waiting, false);
-        self.tell_at = now;
+        self.send_wants_at = now;
         self.requests.insert(request, Life::Waiting(waiting));
     }
 
-    /// Why a request is refused on arrival, if it is.
-    fn admit(&self, arrival: &Arrival) -> Result<(), Refusal> {
+    /// Checks whether a request can be queued; the error is the reason for its refusal.
+    fn check_admission(&self, arrival: &Arrival) -> Result<(), Refusal> {
         if self.draining.is_some() {
             return Err(Refusal::Draining);
         }
@@ -69,11 +74,11 @@
             .get(arrival.service.row())
             .filter(|row| row.live)
             .ok_or(Refusal::ServiceRemoved)?;
-        let able = service.targets.iter().any(|target| {
+        let servable = service.targets.iter().any(|target| {
             table.targets[target.row()].open()
                 && table.serves(*target, arrival.service, arrival.model)
         });
-        if !able {
+        if !servable {
             return Err(Refusal::NoTarget);
         }
         if self.queue.count(arrival.customer) >= table.queue_limit {
@@ -82,7 +87,7 @@
         Ok(())
     }
 
-    fn enqueue(&mut self, request: &request::Request<Waiting>, again: bool) {
+    fn enqueue(&mut self, request: &request::Request<Waiting>, at_front: bool) {
         let arrival = &request.arrival;
         let lane = lane(arrival);
         let class = if self.settings.quick_first {
@@ -90,7 +95,7 @@
         } else {
             Class::Long
         };
-        if again {
+        if at_front {
             self.queue
                 .push_front(lane, arrival.customer, class, arrival.request);
         } else {
@@ -112,7 +117,7 @@
         }
     }
 
-    /// Sends a waiting request to a target on a slot held here.
+    /// Dispatches a waiting request to a target, on a slot held by this router.
     pub(super) fn dispatch(
         &mut self,
         now: Instant,
@@ -140,7 +145,7 @@
         self.requests.insert(request, Life::Sent(sent));
     }
 
-    /// The cost that a request is expected to have, in units.
+    /// Estimated cost of a request, in units.
     pub(super) fn estimate(&self, arrival: &Arrival) -> u64 {
         let prior = self
             .table
@@ -153,12 +158,12 @@
             .get(arrival.hint.unwrap_or(prior))
     }
 
-    /// What a request is charged ahead of its use, in units.
+    /// Amount reserved for a request before it has used any service, in units.
     pub(super) fn reservation(&self, arrival: &Arrival) -> u64 {
         self.estimate(arrival).saturating_mul(self.settings.reserve) / 1_000
     }
 
-    pub(super) fn progress(&mut self, request: Request, attempt: u32, units: u64) {
+    pub(super) fn record_progress(&mut self, request: Request, attempt: u32, units: u64) {
         let Some(Life::Sent(sent)) = self.requests.get_mut(&request) else {
             self.dropped.late_events += 1;
             return;
@@ -173,8 +178,8 @@
         self.book.charge(pool, customer, amount);
     }
 
-    /// Takes a sent request off its slot and settles its charge.
-    fn unload(
+    /// Frees the slot of a sent request and settles its charge.
+    fn release_slot(
         &mut self,
         now: Instant,
         request: Request,
@@ -193,7 +198,7 @@
         Some(sent)
     }
 
-    pub(super) fn end(
+    pub(super) fn handle_end(
         &mut self,
         now: Instant,
         request: Request,
@@ -217,14 +222,14 @@
                 units,
                 delivered,
             } => {
-                let broken = Broken { verdict, failure };
-                self.fail(now, request, units, broken, delivered, actions);
+                let cause = AttemptFailure { verdict, failure };
+                self.fail(now, request, units, cause, delivered, actions);
             }
         }
     }
 
     fn complete(&mut self, now: Instant, request: Request, units: u64, actions: &mut Vec<Action>) {
-        let Some(sent) = self.unload(now, request, units) else {
+        let Some(sent) = self.release_slot(now, request, units) else {
             return;
         };
         self.health.succeed(sent.stage.target);
@@ -240,46 +245,47 @@
         now: Instant,
         request: Request,
         units: u64,
-        broken: Broken,
+        cause: AttemptFailure,
         delivered: bool,
         actions: &mut Vec<Action>,
     ) {
-        let Some(sent) = self.unload(now, request, units) else {
+        let Some(sent) = self.release_slot(now, request, units) else {
             return;
         };
-        let refused = broken.verdict == Verdict::NotRun;
-        if broken.failure != Failure::Cancelled {
+        let refused = cause.verdict == Verdict::NotRun;
+        if cause.failure != Failure::Cancelled {
             self.health.fail(now, sent.stage.target, refused);
         }
-        // The budget and the count of attempts are for when nothing works.
-        let elsewhere = refused && self.works_elsewhere(now, sent.arrival.service);
+        // While another target is usable, a refusal by this one counts neither against the
+        // retry budget nor against the limit of attempts.
+        let other_usable = refused && self.has_usable_target(now, sent.arrival.service);
         let unsent = matches!(
-            broken.failure,
+            cause.failure,
             Failure::ConnectRefused | Failure::ConnectTimeout
         );
-        let free = elsewhere || unsent;
-        let most = if unsent {
+        let budget_exempt = other_usable || unsent;
+        let max_attempts = if unsent {
             retry::MOST_UNSENT
         } else {
             retry::MOST_ATTEMPTS
         };
-        let tired = !elsewhere && sent.attempts >= most;
-        let worst = sent.worst.max(broken.verdict);
-        match sent.failed(broken.verdict, delivered) {
-            Failed::Again(waiting) if !tired && (free || self.budget.spend()) => {
+        let exhausted = !other_usable && sent.attempts >= max_attempts;
+        let worst = sent.worst.max(cause.verdict);
+        match sent.failed(cause.verdict, delivered) {
+            Failed::Again(waiting) if !exhausted && (budget_exempt || self.budget.spend()) => {
                 let wait = retry::wait(self.settings.seed, request, waiting.attempts);
                 self.backoffs.insert((now + wait, request));
                 self.requests.insert(request, Life::Backoff(waiting));
                 actions.push(Action::Retry {
                     request,
-                    failure: broken.failure,
+                    failure: cause.failure,
                 });
             }
-            Failed::Again(_) if !tired => {
+            Failed::Again(_) if !exhausted => {
                 self.refuse(
                     request,
                     Refusal::RetryBudget,
-                    Some(broken.failure),
+                    Some(cause.failure),
                     worst,
                     actions,
                 );
@@ -288,7 +294,7 @@
                 self.refuse(
                     request,
                     Refusal::TargetFailed,
-                    Some(broken.failure),
+                    Some(cause.failure),
                     worst,
                     actions,
                 );
@@ -296,8 +302,8 @@
         }
     }
 
-    /// Whether some target of a service is there to be tried.
-    fn works_elsewhere(&self, now: Instant, service: Service) -> bool {
+    /// Whether some open target of a service is not ejected.
+    fn has_usable_target(&self, now: Instant, service: Service) -> bool {
         self.table
             .as_ref()
             .is_some_and(|table| !self.health.all_ejected(now, table, service))
@@ -316,12 +322,17 @@
         }
     }
 
-    pub(super) fn leave(&mut self, now: Instant, request: Request, actions: &mut Vec<Action>) {
+    pub(super) fn cancel_request(
+        &mut self,
+        now: Instant,
+        request: Request,
+        actions: &mut Vec<Action>,
+    ) {
         match self.requests.get(&request) {
             Some(Life::Sent(sent)) => {
                 let (attempt, used) = (sent.attempts, sent.stage.meter.used());
                 actions.push(Action::Cancel { request, attempt });
-                self.unload(now, request, used);
+                self.release_slot(now, request, used);
             }
             Some(Life::Waiting(waiting)) => {
                 let arrival = waiting.arrival.clone();
@@ -337,7 +348,7 @@
         self.forget(request, actions);
     }
 
-    /// Ends what has passed its deadline or waited too long.
+    /// Ends requests that are past their deadline or the queue timeout.
     pub(super) fn expire(&mut self, now: Instant, table: &Arc<Table>, actions: &mut Vec<Action>) {
         while let Some((at, request)) = self.deadlines.first().copied() {
             if at > now {
@@ -373,7 +384,7 @@
             }
             let (attempt, used) = (sent.attempts, sent.stage.meter.used());
             actions.push(Action::Cancel { request, attempt });
-            self.unload(now, request, used);
+            self.release_slot(now, request, used);
             self.refuse(request, Refusal::DeadlinePassed, None, worst, actions);
             return;
         }
@@ -413,7 +424,7 @@
     }
 }
 
-/// What a request needs of a target.
+/// The lane of a request.
 pub(super) fn lane(arrival: &Arrival) -> Lane {
     Lane {
         service: arrival.service,
--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -1,4 +1,4 @@
-//! Using held slots, asking for more, and following owners.
+//! Dispatch on held slots, wants sent to owners, and assignment of owners.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,42 +20,43 @@
 use crate::table::Table;
 use crate::time::Instant;
 
-/// Time between two looks at what waits, unless something new does.
-const TELL: Duration = Duration::from_millis(20);
+/// Interval between checks for wants to send; a new arrival triggers one at once.
+const WANT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between two looks at idle slots and waiting work.
-const SWEEP: Duration = Duration::from_millis(100);
+/// Interval between checks of idle slots and waiting requests.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Owners told for each waiting request at most while all targets are busy.
-const SURPLUS: usize = 1;
+/// Owners asked per waiting request while all targets are busy.
+const MAX_OWNERS_PER_REQUEST: usize = 1;
 
-/// Part of the window by which a customer must be behind others to ask all owners.
-const BEHIND: i64 = 2;
+/// Fraction of the maximum lead, as a divisor, that a customer must lag behind the
+/// furthest one for a demand to go to all owners.
+const LAG_DIVISOR: i64 = 2;
 
-/// A request that may go now, and where it may go.
-struct Choice {
+/// A request that can be dispatched now, and the permitted targets.
+struct Selection {
     rank: Rank,
     request: Request,
     targets: Vec<Target>,
 }
 
 impl Kernel {
-    /// Works out who owns what after a change of instances or configuration.
-    pub(super) fn follow_members(&mut self, now: Instant, table: &Arc<Table>) {
-        if self.seen_version == Some(self.view.version) {
+    /// Assigns targets to owners after a change of instances or configuration.
+    pub(super) fn apply_membership(&mut self, now: Instant, table: &Arc<Table>) {
+        if self.applied_version == Some(self.view.version) {
             return;
         }
-        self.seen_version = Some(self.view.version);
-        self.orders.clear();
+        self.applied_version = Some(self.view.version);
+        self.owner_orders.clear();
         match self.settings.admission {
-            Admission::Owner => self.follow_owners(now, table),
-            Admission::Static => self.fix_parts(now, table),
-            Admission::Naive => self.fix_all(now, table),
+            Admission::Owner => self.assign_owners(now, table),
+            Admission::Static => self.assign_static_parts(now, table),
+            Admission::Naive => self.assign_all_slots(now, table),
         }
     }
 
-    fn follow_owners(&mut self, now: Instant, table: &Arc<Table>) {
-        let mut mine = Vec::new();
+    fn assign_owners(&mut self, now: Instant, table: &Arc<Table>) {
+        let mut owned = Vec::new();
         for at in 0..table.targets.len() {
             let target = Target::new(at);
             let row = &table.targets[at];
@@ -65,71 +66,78 @@
             }
             let domain = Key::new(table.domain_name(row.domain));
             let near = rendezvous::owner(self.view.live_in(domain), row.key);
-            // A domain without routers is served by the others, as far as they reach it.
+            // Without live routers in the target's domain, routers of other domains own it, as
+            // far as they can reach it.
             let owner = near.or_else(|| rendezvous::owner(self.view.live(), row.key));
-            // When all are leaving, they go on among themselves: a drain ends what waits.
+            // When all routers are leaving, they stay owners among themselves, so that waiting
+            // requests can finish during the drain.
             let owner = owner.or_else(|| rendezvous::owner(self.view.reachable(), row.key));
             let Some(owner) = owner else {
                 self.owners.remove(&target);
                 continue;
             };
-            if owner == self.me {
-                mine.push(target);
+            if owner == self.own_key {
+                owned.push(target);
             }
             self.owners.insert(target, owner);
             self.holder
                 .move_owner(now, table, target, owner, &mut self.outbox);
         }
-        self.owner.assign(now + self.settings.takeover, &mine);
-        let gone: Vec<Key> = self
+        self.owner.assign(now + self.settings.takeover, &owned);
+        let suspects: Vec<Key> = self
             .view
             .all()
             .filter(|(_, member)| member.suspected.is_some())
             .map(|(key, _)| key)
             .collect();
-        for key in gone {
+        for key in suspects {
             self.owner.forget(key);
         }
     }
 
-    /// The static baseline: an equal part of each target for each live router.
-    fn fix_parts(&mut self, now: Instant, table: &Arc<Table>) {
+    /// Static baseline: divides each target's slots equally among the live routers.
+    fn assign_static_parts(&mut self, now: Instant, table: &Arc<Table>) {
         let live: Vec<Key> = self.view.live().collect();
         let count = live.len().max(1);
-        let place = live.iter().position(|key| *key == self.me).unwrap_or(0);
+        let place = live
+            .iter()
+            .position(|key| *key == self.own_key)
+            .unwrap_or(0);
         for at in 0..table.targets.len() {
             let slots = table.targets[at].slots as usize;
-            // The rest of the division goes to other routers for each target.
+            // The remainder goes to different routers from one target to the next.
             let extra = usize::from((place + at) % count < slots % count);
             let part = u32::try_from(slots / count + extra).unwrap_or(0);
-            self.holder.fix(now, Target::new(at), self.me, part);
+            self.holder.fix(now, Target::new(at), self.own_key, part);
         }
     }
 
-    /// The naive baseline: every router uses every target as if it were alone.
-    fn fix_all(&mut self, now: Instant, table: &Arc<Table>) {
+    /// Naive baseline: each router uses every target as if no other router did.
+    fn assign_all_slots(&mut self, now: Instant, table: &Arc<Table>) {
         for at in 0..table.targets.len() {
-            self.holder.fix(now, Target::new(at), self.me, u32::MAX / 2);
+            self.holder
+                .fix(now, Target::new(at), self.own_key, u32::MAX / 2);
         }
     }
 
-    /// Puts waiting requests on free slots in fair order, then gives back the rest.
-    pub(super) fn use_slots(
+    /// Dispatches waiting requests on free slots in fair order, then releases slots that
+    /// need not be kept.
+    pub(super) fn dispatch_waiting(
         &mut self,
         now: Instant,
         table: &Arc<Table>,
         actions: &mut Vec<Action>,
     ) {
-        while let Some(choice) = self.choose(now, table) {
-            let target = self.place(table, &choice);
-            self.dispatch(now, choice.request, target, actions);
+        while let Some(selection) = self.select_request(now, table) {
+            let target = self.select_target(table, &selection);
+            self.dispatch(now, selection.request, target, actions);
         }
         if self.settings.admission == Admission::Owner {
-            self.give_back(now, table);
+            self.release_unused(now, table);
         }
     }
 
-    fn choose(&self, now: Instant, table: &Table) -> Option<Choice> {
+    fn select_request(&self, now: Instant, table: &Table) -> Option<Selection> {
         if self.queue.is_empty() {
             return None;
         }
@@ -142,10 +150,10 @@
         if free.is_empty() {
             return None;
         }
-        let mut best: Option<Choice> = None;
+        let mut best: Option<Selection> = None;
         for (lane, lines) in self.queue.lanes() {
-            let able = self.able(now, table, lane, &free);
-            if able.is_empty() {
+            let eligible = self.eligible(now, table, lane, &free);
+            if eligible.is_empty() {
                 continue;
             }
             let pool = table.pool(lane.service);
@@ -160,9 +168,9 @@
                 {
                     continue;
                 }
-                let targets = self.permitted(table, &able, pool, *customer);
+                let targets = self.permitted(table, &eligible, pool, *customer);
                 if !targets.is_empty() {
-                    best = Some(Choice {
+                    best = Some(Selection {
                         rank,
                         request,
                         targets,
@@ -173,7 +181,7 @@
         best
     }
 
-    fn able(&self, now: Instant, table: &Table, lane: Lane, free: &[Target]) -> Vec<Target> {
+    fn eligible(&self, now: Instant, table: &Table, lane: Lane, free: &[Target]) -> Vec<Target> {
         free.iter()
             .copied()
             .filter(|target| table.serves(*target, lane.service, lane.model))
@@ -190,21 +198,22 @@
         }
     }
 
-    /// Where a customer may go: anywhere unless it is far ahead of others, and then
-    /// only where a slot was granted for it.
+    /// Targets that a customer may use: all eligible ones or, if its lead exceeds the
+    /// maximum, only those with a slot granted for it.
     fn permitted(
         &self,
         table: &Table,
-        able: &[Target],
+        eligible: &[Target],
         pool: Pool,
         customer: Customer,
     ) -> Vec<Target> {
-        let fair = self.settings.admission != Admission::Owner
-            || self.book.lead(pool, customer) <= self.window(table, pool);
-        if fair {
-            return able.to_vec();
+        let unrestricted = self.settings.admission != Admission::Owner
+            || self.book.lead(pool, customer) <= self.max_lead(table, pool);
+        if unrestricted {
+            return eligible.to_vec();
         }
-        able.iter()
+        eligible
+            .iter()
             .copied()
             .filter(|target| {
                 self.holder
@@ -214,25 +223,25 @@
             .collect()
     }
 
-    /// The best of the targets on which a request may go.
-    fn place(&self, table: &Table, choice: &Choice) -> Target {
-        let first = choice.targets[0];
+    /// The permitted target that the placement rates highest.
+    fn select_target(&self, table: &Table, selection: &Selection) -> Target {
+        let first = selection.targets[0];
         let Some(placement) = self.placement else {
             return first;
         };
-        let best = choice
+        let best = selection
             .targets
             .iter()
             .copied()
-            .max_by_key(|target| (placement.worth)(&self.candidate(table, choice, *target)));
+            .max_by_key(|target| (placement.worth)(&self.candidate(table, selection, *target)));
         best.unwrap_or(first)
     }
 
-    fn candidate(&self, table: &Table, choice: &Choice, target: Target) -> Candidate {
+    fn candidate(&self, table: &Table, selection: &Selection, target: Target) -> Candidate {
         let row = &table.targets[target.row()];
         let holding = self.holder.get(target);
         let mut bytes = [0; 12];
-        bytes[..8].copy_from_slice(&choice.request.0.to_le_bytes());
+        bytes[..8].copy_from_slice(&selection.request.0.to_le_bytes());
         bytes[8..].copy_from_slice(&row.key.number().to_le_bytes());
         let draw = xxh64(&bytes, self.settings.seed).to_le_bytes();
         Candidate {
@@ -248,8 +257,9 @@
         }
     }
 
-    /// Gives back unused slots that others want, or that were unused for long.
-    fn give_back(&mut self, now: Instant, table: &Arc<Table>) {
+    /// Releases unused slots that were recalled, have been idle for the hold time, belong to
+    /// a target that takes no new work or is ejected, or compete with waiting customers.
+    fn release_unused(&mut self, now: Instant, table: &Arc<Table>) {
         let idle: Vec<Target> = self
             .holder
             .all()
@@ -274,25 +284,25 @@
         }
     }
 
-    /// Tells owners what waits here.
-    pub(super) fn tell_wants(&mut self, now: Instant, table: &Arc<Table>) {
-        if self.settings.admission != Admission::Owner || now < self.tell_at {
+    /// Sends the demands of waiting requests to owners.
+    pub(super) fn send_wants(&mut self, now: Instant, table: &Arc<Table>) {
+        if self.settings.admission != Admission::Owner || now < self.send_wants_at {
             return;
         }
-        self.tell_at = now + TELL;
+        self.send_wants_at = now + WANT_INTERVAL;
         let lanes: Vec<Lane> = self.queue.lanes().map(|(lane, _)| lane).collect();
         self.holder.note_waiting(now, &lanes);
         let mut wanted: BTreeMap<Key, Vec<Demand>> = BTreeMap::new();
-        let mut pause = self.settings.retell;
+        let mut interval = self.settings.retell;
         for lane in lanes {
-            let order = self.order(table, lane);
-            let full = self.full(table, lane);
-            if !full {
-                pause = TELL;
+            let order = self.owner_order(table, lane);
+            let saturated = self.saturated(table, lane);
+            if !saturated {
+                interval = WANT_INTERVAL;
             }
-            let width = self.holder.width(now, lane, &self.settings, full);
+            let width = self.holder.width(now, lane, &self.settings, saturated);
             for demand in self.demands(lane) {
-                let width = self.breadth(table, &demand, width, full);
+                let width = self.fan_out(table, &demand, width, saturated);
                 for owner in order.iter().take(width) {
                     wanted.entry(*owner).or_default().push(demand);
                 }
@@ -303,12 +313,12 @@
         }
         for (owner, demands) in wanted {
             self.holder
-                .tell(now, table, pause, owner, &demands, &mut self.outbox);
+                .tell(now, table, interval, owner, &demands, &mut self.outbox);
         }
     }
 
-    /// Whether others wait for a lane's targets and none is known to have free slots.
-    fn full(&self, table: &Table, lane: Lane) -> bool {
+    /// Whether customers wait for a lane's targets and none is known to have free slots.
+    fn saturated(&self, table: &Table, lane: Lane) -> bool {
         let pool = table.pool(lane.service);
         let spare = self.rounds.spare();
         self.book.frontier(pool).is_some()
@@ -318,36 +328,38 @@
                 .any(|target| spare.contains(&table.targets[target.row()].key))
     }
 
-    /// How many owners are told of a demand. While all targets are busy each of them
-    /// grants by itself, and what comes beyond the demand goes back unused: so few
-    /// waiting requests are told to few.
-    fn breadth(&self, table: &Table, demand: &Demand, width: usize, full: bool) -> usize {
-        let width = if self.behind(table, demand) {
+    /// Number of owners that a demand is sent to. While all targets are busy, each owner
+    /// grants independently and slots beyond the demand are returned unused, so a small
+    /// demand goes to few owners.
+    fn fan_out(&self, table: &Table, demand: &Demand, width: usize, saturated: bool) -> usize {
+        let width = if self.lags(table, demand) {
             holder::WIDTH
         } else {
             width
         };
-        if !full {
+        if !saturated {
             return width;
         }
         let count = usize::try_from(demand.count).unwrap_or(holder::WIDTH);
-        width.min(count.saturating_mul(SURPLUS))
+        width.min(count.saturating_mul(MAX_OWNERS_PER_REQUEST))
     }
 
-    /// Whether a customer is so far behind others that slots should come from afar.
-    fn behind(&self, table: &Table, demand: &Demand) -> bool {
+    /// Whether a customer lags so far behind that all owners should be asked.
+    fn lags(&self, table: &Table, demand: &Demand) -> bool {
         let pool = table.pool(demand.lane.service);
-        let Some(most) = self.book.vanguard(pool) else {
+        let Some(greatest) = self.book.vanguard(pool) else {
             return false;
         };
         let rank = self.book.rank(pool, demand.customer);
-        rank.0 + self.window(table, pool) / BEHIND < most
+        rank.0 + self.max_lead(table, pool) / LAG_DIVISOR < greatest
     }
 
-    /// How far ahead of the frontier a slot may be kept, in virtual time.
-    fn window(&self, table: &Table, pool: Pool) -> i64 {
-        let lean = 1_000 - table.gap_permille.min(1_000);
-        self.book.advance(pool, self.settings.window * lean / 1_000)
+    /// Maximum lead over the frontier at which a customer may use any held slot, in virtual
+    /// time.
+    fn max_lead(&self, table: &Table, pool: Pool) -> i64 {
+        let permille = 1_000 - table.gap_permille.min(1_000);
+        self.book
+            .advance(pool, self.settings.window * permille / 1_000)
     }
 
     fn demands(&self, lane: Lane) -> Vec<Demand> {
@@ -373,12 +385,13 @@
         }
     }
 
-    /// Owners of a lane's targets: with free slots first, then near, then by weight.
-    fn order(&mut self, table: &Table, lane: Lane) -> Vec<Key> {
-        if let Some(order) = self.orders.get(&lane) {
+    /// Owners of a lane's targets: those with free slots first, then those of targets in
+    /// this failure domain, then by rendezvous weight.
+    fn owner_order(&mut self, table: &Table, lane: Lane) -> Vec<Key> {
+        if let Some(order) = self.owner_orders.get(&lane) {
             return order.clone();
         }
-        let mut places: Vec<(bool, bool, u64, Key)> = Vec::new();
+        let mut ranked: Vec<(bool, bool, u64, Key)> = Vec::new();
         for target in &table.services[lane.service.row()].targets {
             let row = &table.targets[target.row()];
             let Some(owner) = self.owners.get(target) else {
@@ -389,31 +402,31 @@
             }
             let spare = self.rounds.spare().contains(&row.key);
             let near = *table.domain_name(row.domain) == self.settings.domain;
-            let weight = rendezvous::weight(self.me, row.key);
-            places.push((!spare, !near, weight, *owner));
+            let weight = rendezvous::weight(self.own_key, row.key);
+            ranked.push((!spare, !near, weight, *owner));
         }
-        places.sort_unstable();
+        ranked.sort_unstable();
         let mut order: Vec<Key> = Vec::new();
-        for (_, _, _, owner) in places {
+        for (_, _, _, owner) in ranked {
             if !order.contains(&owner) {
                 order.push(owner);
             }
         }
-        self.orders.insert(lane, order.clone());
+        self.owner_orders.insert(lane, order.clone());
         order
     }
 
-    /// Whether time alone may bring something to do here.
+    /// Whether the periodic check is needed, with requests waiting or unused slots held.
     pub(super) fn needs_sweep(&self) -> bool {
         self.settings.admission == Admission::Owner
             && (!self.queue.is_empty() || self.holder.all().any(|(_, row)| row.free() > 0))
     }
 
-    pub(super) fn sweep_when_due(&mut self, now: Instant, table: &Arc<Table>) {
+    pub(super) fn restate_when_due(&mut self, now: Instant, table: &Arc<Table>) {
         if now < self.sweep_at || self.settings.admission != Admission::Owner {
             return;
         }
-        self.sweep_at = now + SWEEP;
+        self.sweep_at = now + SWEEP_INTERVAL;
         self.holder
             .restate(now, table, &self.settings, &mut self.outbox);
     }
