--- a/crates/kernel/src/table.rs
+++ b/crates/kernel/src/table.rs
@@ -1,14 +1,14 @@
 //! The accepted configuration as dense tables.
 //!
-//! The edge describes a configuration by names ([`Spec`]); [`Table::new`] turns
-//! it into rows. A table made [`Table::with_previous`] keeps the row of every
-//! name it has seen before and only adds rows, so that indices stay valid over
-//! any number of changes. Rows whose name is gone are kept with `live = false`.
+//! A [`Spec`] describes a configuration by names; [`Table::new`] converts it to
+//! rows. A table built with [`Table::with_previous`] keeps the row of every known
+//! name and only appends rows, so that indices stay valid over any number of
+//! changes. Rows of removed names are kept with `live = false`.
 //!
-//! Shares apply within a [`crate::id::Pool`]: the services that compete for the
-//! same targets, found as the connected components of services and targets. A
-//! customer's account is kept for each pool apart, so a model service and a
-//! plain service on other targets lend each other nothing.
+//! Shares apply within a [`crate::id::Pool`]: services that compete for the same
+//! targets, which are the connected components of the graph of services and
+//! targets. A customer has a separate account in each pool, so that a model service
+//! and a plain service on other targets do not affect each other's shares.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,57 +19,57 @@
 use crate::id::{Customer, Domain, Model, Pool, Service, Target};
 use crate::key::Key;
 
-/// A customer as the edge describes it.
+/// A customer's entry in a [`Spec`].
 #[derive(Clone, Debug)]
 pub struct CustomerSpec {
     /// Its name.
     pub name: Arc<str>,
-    /// Its weight against other customers, at least 1.
+    /// Its weight relative to other customers, at least 1.
     pub share: u32,
 }
 
-/// A service as the edge describes it.
+/// A service's entry in a [`Spec`].
 #[derive(Clone, Debug)]
 pub struct ServiceSpec {
     /// Its name.
     pub name: Arc<str>,
-    /// The class of requests that name none.
+    /// Default class for requests without one.
     pub class: Class,
-    /// How long an answer may take.
+    /// Time limit for an answer.
     pub timeout: Duration,
-    /// Cost of a request in units before anything was learned.
+    /// Initial cost estimate for a request, in units.
     pub prior: u64,
 }
 
-/// A target as the edge describes it.
+/// A target's entry in a [`Spec`].
 #[derive(Clone, Debug)]
 pub struct TargetSpec {
     /// Its name.
     pub name: Arc<str>,
-    /// Names of the services it runs.
+    /// Names of its services.
     pub services: Vec<Arc<str>>,
-    /// Names of the models it has loaded.
+    /// Names of its loaded models.
     pub models: Vec<Arc<str>>,
     /// Its failure domain.
     pub domain: Arc<str>,
-    /// Where it listens.
+    /// Address of its listener.
     pub address: SocketAddr,
-    /// Requests it runs at once.
+    /// Limit on concurrent requests.
     pub slots: u32,
-    /// Whether the configuration says that it is leaving.
+    /// Whether the configuration marks it as leaving.
     pub leaving: bool,
 }
 
-/// A whole configuration by names.
+/// A complete configuration by names.
 #[derive(Clone, Debug, Default)]
 pub struct Spec {
-    /// Its place in the order of accepted configurations.
+    /// Number in the order of accepted configurations.
     pub revision: u64,
-    /// Between utilisation first (0) and the fairness gap first (1000).
+    /// Trade-off between utilisation (0) and a small fairness gap (1000).
     pub gap_permille: u32,
-    /// Requests a customer may have queued at one router.
+    /// Limit on a customer's queued requests at one router.
     pub queue_limit: usize,
-    /// How long a request may wait in a queue.
+    /// Time limit for a request in a queue.
     pub queue_timeout: Duration,
     /// Failure domains.
     pub domains: Vec<Arc<str>>,
@@ -86,11 +86,11 @@
 pub struct CustomerRow {
     /// Its name.
     pub name: Arc<str>,
-    /// Its name between routers.
+    /// Key for its name in messages between routers.
     pub key: Key,
     /// Its weight.
     pub share: u32,
-    /// Whether the configuration still has it.
+    /// Whether it is in the current configuration.
     pub live: bool,
 }
 
@@ -99,19 +99,19 @@
 pub struct ServiceRow {
     /// Its name.
     pub name: Arc<str>,
-    /// Its name between routers.
+    /// Key for its name in messages between routers.
     pub key: Key,
-    /// The class of requests that name none.
+    /// Default class for requests without one.
     pub class: Class,
-    /// How long an answer may take.
+    /// Time limit for an answer.
     pub timeout: Duration,
-    /// Cost of a request in units before anything was learned.
+    /// Initial cost estimate for a request, in units.
     pub prior: u64,
-    /// The competition it belongs to.
+    /// The pool of services that it competes with.
     pub pool: Pool,
-    /// Targets that run it, in row order.
+    /// Its targets, in row order.
     pub targets: Vec<Target>,
-    /// Whether the configuration still has it.
+    /// Whether it is in the current configuration.
     pub live: bool,
 }
 
@@ -120,41 +120,41 @@
 pub struct TargetRow {
     /// Its name.
     pub name: Arc<str>,
-    /// Its name between routers.
+    /// Key for its name in messages between routers.
     pub key: Key,
-    /// The services it runs.
+    /// Its services.
     pub services: Vec<Service>,
-    /// The models it has loaded.
+    /// Its loaded models.
     pub models: Vec<Model>,
     /// Its failure domain.
     pub domain: Domain,
-    /// Where it listens.
+    /// Address of its listener.
     pub address: SocketAddr,
-    /// Requests it runs at once.
+    /// Limit on concurrent requests.
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether it is leaving and takes no new work.
     pub leaving: bool,
-    /// Whether the configuration still has it.
+    /// Whether it is in the current configuration.
     pub live: bool,
 }
 
 impl TargetRow {
-    /// Whether the target may be given new work.
+    /// Whether the target takes new work.
     #[must_use]
     pub const fn open(&self) -> bool {
         self.live && !self.leaving
     }
 }
 
-/// Rows of one kind, found by name or key.
+/// Interned names of one kind, with their rows by name and by key.
 #[derive(Clone, Debug)]
-struct Names {
+struct Interner {
     rows: Vec<Arc<str>>,
     by_name: HashMap<Arc<str>, usize>,
     by_key: HashMap<Key, usize>,
 }
 
-impl Names {
+impl Interner {
     fn new() -> Self {
         Self {
             rows: Vec::new(),
@@ -175,16 +175,16 @@
     }
 }
 
-/// An accepted configuration, dense.
+/// An accepted configuration as dense rows.
 #[derive(Clone, Debug)]
 pub struct Table {
-    /// Its place in the order of accepted configurations.
+    /// Number in the order of accepted configurations.
     pub revision: u64,
-    /// Between utilisation first (0) and the fairness gap first (1000).
+    /// Trade-off between utilisation (0) and a small fairness gap (1000).
     pub gap_permille: u32,
-    /// Requests a customer may have queued at one router.
+    /// Limit on a customer's queued requests at one router.
     pub queue_limit: usize,
-    /// How long a request may wait in a queue.
+    /// Time limit for a request in a queue.
     pub queue_timeout: Duration,
     /// Customers by row.
     pub customers: Vec<CustomerRow>,
@@ -194,15 +194,15 @@
     pub targets: Vec<TargetRow>,
     /// Number of pools.
     pub pools: usize,
-    domain_names: Names,
-    model_names: Names,
-    customer_names: Names,
-    service_names: Names,
-    target_names: Names,
+    domain_names: Interner,
+    model_names: Interner,
+    customer_names: Interner,
+    service_names: Interner,
+    target_names: Interner,
 }
 
 impl Table {
-    /// The table of a first configuration.
+    /// The table for a first configuration.
     #[must_use]
     pub fn new(spec: &Spec) -> Self {
         let empty = Self {
@@ -214,16 +214,16 @@
             services: Vec::new(),
             targets: Vec::new(),
             pools: 0,
-            domain_names: Names::new(),
-            model_names: Names::new(),
-            customer_names: Names::new(),
-            service_names: Names::new(),
-            target_names: Names::new(),
+            domain_names: Interner::new(),
+            model_names: Interner::new(),
+            customer_names: Interner::new(),
+            service_names: Interner::new(),
+            target_names: Interner::new(),
         };
         Self::with_previous(&empty, spec)
     }
 
-    /// The table of a later configuration, in which known names keep their rows.
+    /// The table for a later configuration; known names keep their rows.
     #[must_use]
     pub fn with_previous(previous: &Self, spec: &Spec) -> Self {
         let mut table = previous.clone();
@@ -237,7 +237,7 @@
         table.fill_customers(spec);
         table.fill_services(spec);
         table.fill_targets(spec);
-        table.join_pools();
+        table.assign_pools();
         table
     }
 
@@ -252,7 +252,7 @@
                 share: customer.share.max(1),
                 live: true,
             };
-            put(
+            set_row(
                 &mut self.customers,
                 self.customer_names.intern(&customer.name),
                 row,
@@ -276,7 +276,7 @@
                 targets: Vec::new(),
                 live: true,
             };
-            put(
+            set_row(
                 &mut self.services,
                 self.service_names.intern(&service.name),
                 row,
@@ -308,7 +308,7 @@
             for service in &row.services {
                 self.services[service.row()].targets.push(Target::new(at));
             }
-            put(&mut self.targets, at, row);
+            set_row(&mut self.targets, at, row);
         }
         for service in &mut self.services {
             service.targets.sort_unstable();
@@ -323,23 +323,26 @@
             .collect()
     }
 
-    /// Gives services that share a live target the same pool.
-    fn join_pools(&mut self) {
+    /// Assigns services that share a live target to the same pool.
+    fn assign_pools(&mut self) {
         let mut root: Vec<usize> = (0..self.services.len()).collect();
         for target in self.targets.iter().filter(|target| target.live) {
             for pair in target.services.windows(2) {
-                let (a, b) = (find(&root, pair[0].row()), find(&root, pair[1].row()));
+                let (a, b) = (
+                    find_root(&root, pair[0].row()),
+                    find_root(&root, pair[1].row()),
+                );
                 root[a.max(b)] = a.min(b);
             }
         }
-        // A pool's index is the first service in it, so it needs no table of its own.
+        // A pool's index is the row of its first service, so pools need no table.
         for at in 0..root.len() {
-            self.services[at].pool = Pool::new(find(&root, at));
+            self.services[at].pool = Pool::new(find_root(&root, at));
         }
         self.pools = root.len();
     }
 
-    /// The customer of a name, live or not.
+    /// The customer with a name, live or not.
     #[must_use]
     pub fn customer(&self, name: &str) -> Option<Customer> {
         self.customer_names
@@ -349,7 +352,7 @@
             .map(Customer::new)
     }
 
-    /// The service of a name, live or not.
+    /// The service with a name, live or not.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<Service> {
         self.service_names
@@ -359,7 +362,7 @@
             .map(Service::new)
     }
 
-    /// The target of a name, live or not.
+    /// The target with a name, live or not.
     #[must_use]
     pub fn target(&self, name: &str) -> Option<Target> {
         self.target_names
@@ -369,13 +372,13 @@
             .map(Target::new)
     }
 
-    /// The model of a name.
+    /// The model with a name.
     #[must_use]
     pub fn model(&self, name: &str) -> Option<Model> {
         self.model_names.by_name.get(name).copied().map(Model::new)
     }
 
-    /// The model of a key from another router.
+    /// The model with a key.
     #[must_use]
     pub fn model_by_key(&self, key: Key) -> Option<Model> {
         self.model_names.by_key.get(&key).copied().map(Model::new)
@@ -387,19 +390,19 @@
         Key::new(&self.model_names.rows[model.row()])
     }
 
-    /// The key of a pool: that of its first service.
+    /// The key of a pool, which is that of its first service.
     #[must_use]
     pub fn pool_key(&self, pool: Pool) -> Key {
         self.services[pool.row()].key
     }
 
-    /// The pool of a key from another router.
+    /// The pool with a key.
     #[must_use]
     pub fn pool_by_key(&self, key: Key) -> Option<Pool> {
         self.service_by_key(key).map(|service| self.pool(service))
     }
 
-    /// The failure domain of a name.
+    /// The failure domain with a name.
     #[must_use]
     pub fn domain(&self, name: &str) -> Option<Domain> {
         self.domain_names
@@ -415,13 +418,13 @@
         &self.domain_names.rows[domain.row()]
     }
 
-    /// Number of failure domains ever named.
+    /// Number of failure domains in this and all previous tables.
     #[must_use]
     pub fn domains(&self) -> usize {
         self.domain_names.rows.len()
     }
 
-    /// The customer of a key from another router.
+    /// The customer with a key.
     #[must_use]
     pub fn customer_by_key(&self, key: Key) -> Option<Customer> {
         self.customer_names
@@ -431,7 +434,7 @@
             .map(Customer::new)
     }
 
-    /// The service of a key from another router.
+    /// The service with a key.
     #[must_use]
     pub fn service_by_key(&self, key: Key) -> Option<Service> {
         self.service_names
@@ -441,7 +444,7 @@
             .map(Service::new)
     }
 
-    /// The target of a key from another router.
+    /// The target with a key.
     #[must_use]
     pub fn target_by_key(&self, key: Key) -> Option<Target> {
         self.target_names.by_key.get(&key).copied().map(Target::new)
@@ -459,7 +462,7 @@
         self.services[service.row()].pool
     }
 
-    /// Whether a target runs a service and, if one is named, has the model.
+    /// Whether a target has a service and, if given, a model.
     #[must_use]
     pub fn serves(&self, target: Target, service: Service, model: Option<Model>) -> bool {
         let row = &self.targets[target.row()];
@@ -467,7 +470,7 @@
     }
 }
 
-fn put<T>(rows: &mut Vec<T>, at: usize, row: T) {
+fn set_row<T>(rows: &mut Vec<T>, at: usize, row: T) {
     if at < rows.len() {
         rows[at] = row;
     } else {
@@ -475,7 +478,7 @@
     }
 }
 
-fn find(root: &[usize], mut at: usize) -> usize {
+fn find_root(root: &[usize], mut at: usize) -> usize {
     while root[at] != at {
         at = root[at];
     }
