--- a/crates/kernel/src/kernel/requests.rs
+++ b/crates/kernel/src/kernel/requests.rs
@@ -256,8 +256,8 @@
         if cause.failure != Failure::Cancelled {
             self.health.fail(now, sent.stage.target, refused);
         }
-        // While another target is usable, a refusal by this one counts neither against the
-        // retry budget nor against the limit of attempts.
+        // The retry budget and the limit of attempts bound retries while no target works.
+        // A request that did not run is retried regardless while another target is usable.
         let other_usable = refused && self.has_usable_target(now, sent.arrival.service);
         let unsent = matches!(
             cause.failure,
--- a/crates/kernel/src/request.rs
+++ b/crates/kernel/src/request.rs
@@ -1,10 +1,10 @@
-//! The life of a request at this router, as a typestate.
+//! The state of a request at this router, as a typestate.
 //!
 //! A request is [`Waiting`], then [`Sent`]. Only a waiting request can be sent,
-//! which consumes it; a sent one becomes waiting again only through
-//! [`Request::failed`], which demands a verdict and gives the request back for a
-//! second try solely when that cannot run it twice. So a resend of a request that
-//! may have run and may not be repeated does not compile outside that function.
+//! which consumes it. A sent one becomes waiting again only through
+//! [`Request::failed`], which takes a verdict and returns the request for a retry
+//! only if it did not run or may be repeated. Code outside that function that
+//! resends any other request does not compile.
 
 use crate::account::Meter;
 use crate::event::Arrival;
@@ -12,29 +12,29 @@
 use crate::time::Instant;
 use crate::verdict::Verdict;
 
-/// Not sent, or known not to have run.
+/// Not sent yet, or to be retried.
 #[derive(Clone, Copy, Debug)]
 pub struct Waiting;
 
 /// Sent to a target; it may be running.
 #[derive(Clone, Copy, Debug)]
 pub struct Sent {
-    /// Where to.
+    /// The target of the attempt.
     pub target: Target,
-    /// What it is charged.
+    /// Meter of its charge.
     pub meter: Meter,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub at: Instant,
 }
 
-/// A request in one stage of its life.
+/// A request in one stage.
 #[derive(Clone, Debug)]
 pub struct Request<Stage> {
-    /// As it came.
+    /// The arrival.
     pub arrival: Arrival,
-    /// When it came.
+    /// Time of its arrival.
     pub arrived: Instant,
-    /// Attempts made so far.
+    /// Number of attempts so far.
     pub attempts: u32,
     /// The worst verdict of all attempts so far.
     pub worst: Verdict,
@@ -43,7 +43,7 @@
 }
 
 impl Request<Waiting> {
-    /// A request that has just come.
+    /// A request that has just arrived.
     #[must_use]
     pub const fn new(arrival: Arrival, arrived: Instant) -> Self {
         Self {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The request, sent to a target.
+    /// Marks the request as sent to a target and counts the attempt.
     #[must_use]
     pub fn send(self, at: Instant, target: Target, meter: Meter) -> Request<Sent> {
         Request {
@@ -68,22 +68,23 @@
     }
 }
 
-/// What a failed attempt leaves.
+/// What follows a failed attempt.
 #[derive(Clone, Debug)]
 pub enum Failed {
-    /// It may be tried again without running twice or confusing the caller.
+    /// The request may be retried: it did not run or is repeatable, and the caller has
+    /// received nothing.
     Again(Request<Waiting>),
-    /// It is over.
+    /// The request may not be retried.
     Over,
 }
 
 impl Request<Sent> {
-    /// Ends a failed attempt. Another is allowed when the request did not run, or
-    /// is repeatable and the caller has seen no byte of an answer.
+    /// Ends a failed attempt. A retry is allowed if the request did not run or is
+    /// repeatable, and no byte of an answer was `delivered` to the caller.
     #[must_use]
     pub fn failed(self, verdict: Verdict, delivered: bool) -> Failed {
-        let harmless = verdict == Verdict::NotRun || self.arrival.repeatable;
-        if delivered || !harmless {
+        let retriable = verdict == Verdict::NotRun || self.arrival.repeatable;
+        if delivered || !retriable {
             return Failed::Over;
         }
         Failed::Again(Request {
@@ -101,7 +102,7 @@
 pub enum Life {
     /// Waiting in the queue.
     Waiting(Request<Waiting>),
-    /// Waiting for its next try.
+    /// Waiting for the end of its backoff.
     Backoff(Request<Waiting>),
     /// Sent to a target.
     Sent(Request<Sent>),
--- a/crates/kernel/src/retry.rs
+++ b/crates/kernel/src/retry.rs
@@ -1,14 +1,15 @@
-//! When a failed attempt is tried again.
+//! Backoff, limit of attempts and budget of retries.
 //!
-//! The verdict and the service decide whether a retry is allowed at all (see
-//! [`crate::request`]); this module decides when. Waits double from
-//! [`FIRST_WAIT`] to [`LONGEST_WAIT`] with jitter drawn from the settings' seed.
-//! Retries are paid from a budget that first attempts fill by [`BUDGET_SHARE`]
-//! each, so that while every target fails, retries add a tenth to the load and no
-//! more, on every router and hence over the fleet. A retry is free when
-//! the attempt did not reach its target, which adds nothing to the target's load, or
-//! was refused as not run while another target works; such a request then waits for
-//! that one as long as its queue lets it.
+//! Whether a retry is allowed at all depends on the verdict and on whether the
+//! request is repeatable (see [`crate::request`]). Backoff doubles from
+//! [`FIRST_WAIT`] to [`LONGEST_WAIT`], with jitter drawn from the settings' seed.
+//!
+//! Retries are paid from a budget to which each first attempt adds
+//! [`BUDGET_SHARE`]. While every target fails, retries therefore add at most a tenth
+//! to the load of each router and hence of the fleet. A retry is exempt when the
+//! attempt did not reach its target, which adds no load there, or did not run while
+//! another target works; such a request is retried until its deadline or the queue
+//! timeout.
 
 use std::time::Duration;
 
@@ -16,27 +17,27 @@
 
 use crate::id::Request;
 
-/// Attempts at most, the first included, unless another target works.
+/// Limit of attempts, the first included, while no target works.
 pub const MOST_ATTEMPTS: u32 = 4;
 
-/// Attempts at most when the last did not reach its target and none works.
+/// Limit of attempts if the last did not reach its target and none works.
 pub const MOST_UNSENT: u32 = 8;
 
-/// Wait before the second attempt, before jitter.
+/// Backoff before the second attempt, without jitter.
 pub const FIRST_WAIT: Duration = Duration::from_millis(20);
 
-/// Longest wait, before jitter.
+/// Longest backoff, without jitter.
 pub const LONGEST_WAIT: Duration = Duration::from_secs(1);
 
-/// What one first attempt adds to the budget, in thousandths of a retry.
+/// Amount that a first attempt adds to the budget, in thousandths of a retry.
 pub const BUDGET_SHARE: u64 = 100;
 
-/// The fullest budget, in thousandths of a retry; also what a router starts with.
+/// Largest budget, in thousandths of a retry; also the initial one.
 pub const BUDGET_MOST: u64 = 10_000;
 
-const ONE: u64 = 1_000;
+const THOUSANDTHS: u64 = 1_000;
 
-/// What retries may still be made.
+/// Remaining budget of retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
     thousandths: u64,
@@ -57,22 +58,22 @@
         Self::default()
     }
 
-    /// Adds for a first attempt.
+    /// Adds [`BUDGET_SHARE`] for a first attempt.
     pub fn earn(&mut self) {
         self.thousandths = (self.thousandths + BUDGET_SHARE).min(BUDGET_MOST);
     }
 
-    /// Pays for a retry; false when the budget is spent.
+    /// Takes one retry from the budget; false if less than one is left.
     pub fn spend(&mut self) -> bool {
-        if self.thousandths < ONE {
+        if self.thousandths < THOUSANDTHS {
             return false;
         }
-        self.thousandths -= ONE;
+        self.thousandths -= THOUSANDTHS;
         true
     }
 }
 
-/// The wait before the next attempt, after `attempts` attempts.
+/// Backoff after `attempts` attempts.
 #[must_use]
 pub fn wait(seed: u64, request: Request, attempts: u32) -> Duration {
     let doubled = FIRST_WAIT * 2u32.saturating_pow(attempts.saturating_sub(1));
@@ -80,8 +81,8 @@
     let mut bytes = [0; 12];
     bytes[..8].copy_from_slice(&request.0.to_le_bytes());
     bytes[8..].copy_from_slice(&attempts.to_le_bytes());
-    let draw = xxh64(&bytes, seed) % ONE;
-    // Between half of the wait and the whole of it.
-    let permille = u32::try_from(ONE / 2 + draw / 2).unwrap_or(1_000);
+    let draw = xxh64(&bytes, seed) % THOUSANDTHS;
+    // Between half of the backoff and all of it.
+    let permille = u32::try_from(THOUSANDTHS / 2 + draw / 2).unwrap_or(1_000);
     base * permille / 1_000
 }
--- a/crates/kernel/src/verdict.rs
+++ b/crates/kernel/src/verdict.rs
@@ -1,24 +1,24 @@
 //! Whether a failed attempt may have run.
 //!
-//! Only the place that knows may say [`Verdict::NotRun`]: a request whose first
-//! byte was never sent, a refused connection, or a target's own explicit
-//! refusal. Everything else that goes wrong before a whole answer is
-//! [`Verdict::MayHaveRun`]. A retry needs `NotRun`, or a repeatable request of
-//! whose answer the caller has not seen a byte.
+//! [`Verdict::NotRun`] is used only where it is certain: no byte of the request was
+//! sent, the connection was refused, or the target explicitly refused the request.
+//! Any other failure before a complete answer is [`Verdict::MayHaveRun`]. A retry
+//! requires `NotRun` or a repeatable request, and that the caller has received no
+//! byte of the answer.
 
-/// What is known about the run of a request after a failure.
+/// Whether a request ran at a target, as far as known after a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Verdict {
-    /// The request certainly did not run.
+    /// The request did not run.
     NotRun,
-    /// The request may have run; nobody on this side can tell.
+    /// The request may have run; the router cannot determine it.
     MayHaveRun,
-    /// The request certainly ran, though its answer was not delivered whole.
+    /// The request ran, but its answer was not delivered completely.
     Ran,
 }
 
 impl Verdict {
-    /// The name used in headers, bodies, logs and metrics.
+    /// Name in headers, bodies, logs and metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -38,10 +38,10 @@
         }
 
         impl $kind {
-            /// Every reason, in a fixed order.
+            /// All reasons, in a fixed order.
             pub const ALL: &'static [Self] = &[$(Self::$variant,)*];
 
-            /// The name used in answers, logs and metrics.
+            /// Name in answers, logs and metrics.
             #[must_use]
             pub const fn name(self) -> &'static str {
                 match self {
@@ -53,7 +53,7 @@
 }
 
 reasons!(
-    /// Why the kernel refuses a request.
+    /// Reason for refusing a request.
     Refusal {
         /// The customer's queue at this router is full.
         QueueFull = "queue_full",
@@ -61,7 +61,7 @@
         QueueTimeout = "queue_timeout",
         /// The caller's deadline passed.
         DeadlinePassed = "deadline_passed",
-        /// No target has what the request names.
+        /// No target in service has the requested service and model.
         NoTarget = "no_target",
         /// The customer is no longer in the configuration.
         CustomerRemoved = "customer_removed",
@@ -71,29 +71,29 @@
         Draining = "draining",
         /// No configuration has been accepted yet.
         NotConfigured = "not_configured",
-        /// The target failed and the request may not be tried again.
+        /// The target failed and the request may not be retried.
         TargetFailed = "target_failed",
         /// The retry budget is spent.
         RetryBudget = "retry_budget",
-        /// The caller went away while the request was with us.
+        /// The caller disconnected before the final answer.
         CallerLeft = "caller_left",
     }
 );
 
 reasons!(
-    /// Why an attempt failed and, where allowed, is tried again.
+    /// Reason for the failure of an attempt.
     Failure {
         /// The target refused the connection.
         ConnectRefused = "connect_refused",
-        /// No connection within the time allowed.
+        /// No connection within the connect timeout.
         ConnectTimeout = "connect_timeout",
-        /// The target said that it did not run the request.
+        /// The target reported that it did not run the request.
         TargetRefused = "target_refused",
         /// The connection was lost after the request was sent.
         ConnectionLost = "connection_lost",
-        /// The answer did not come in time.
+        /// The answer timed out.
         AnswerTimeout = "answer_timeout",
-        /// The answer was cut short or not what the protocol allows.
+        /// The answer was truncated or violated the protocol.
         AnswerBroken = "answer_broken",
         /// The attempt was cancelled by the kernel.
         Cancelled = "cancelled",
