--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -56,7 +56,7 @@
     }
 
     fn assign_owners(&mut self, now: Instant, table: &Arc<Table>) {
-        let mut owned = Vec::new();
+        let mut local_targets = Vec::new();
         for at in 0..table.targets.len() {
             let target = Target::new(at);
             let row = &table.targets[at];
@@ -77,13 +77,14 @@
                 continue;
             };
             if owner == self.own_key {
-                owned.push(target);
+                local_targets.push(target);
             }
             self.owners.insert(target, owner);
             self.holder
                 .move_owner(now, table, target, owner, &mut self.outbox);
         }
-        self.owner.assign(now + self.settings.takeover, &owned);
+        self.owner
+            .assign(now + self.settings.takeover, &local_targets);
         let suspects: Vec<Key> = self
             .view
             .all()
--- a/crates/kernel/src/queue.rs
+++ b/crates/kernel/src/queue.rs
@@ -101,7 +101,7 @@
 
     /// Appends a request to the queue of its lane, customer and class.
     pub fn push(&mut self, lane: Lane, customer: Customer, class: Class, request: Request) {
-        self.entry(lane, customer)
+        self.backlog_mut(lane, customer)
             .class_mut(class)
             .push_back(request);
         self.increment(customer);
@@ -109,7 +109,7 @@
 
     /// Puts a request that is retried at the front of its queue.
     pub fn push_front(&mut self, lane: Lane, customer: Customer, class: Class, request: Request) {
-        self.entry(lane, customer)
+        self.backlog_mut(lane, customer)
             .class_mut(class)
             .push_front(request);
         self.increment(customer);
@@ -150,7 +150,7 @@
         self.lanes.get(&lane)
     }
 
-    fn entry(&mut self, lane: Lane, customer: Customer) -> &mut Line {
+    fn backlog_mut(&mut self, lane: Lane, customer: Customer) -> &mut Line {
         self.lanes
             .entry(lane)
             .or_default()
--- a/crates/kernel/src/table.rs
+++ b/crates/kernel/src/table.rs
@@ -192,7 +192,7 @@
     pub services: Vec<ServiceRow>,
     /// Targets by row.
     pub targets: Vec<TargetRow>,
-    /// Number of pools.
+    /// Bound of the pool indices, which are rows of services.
     pub pools: usize,
     domain_names: Interner,
     model_names: Interner,
