--- a/crates/kernel/src/kernel/requests.rs
+++ b/crates/kernel/src/kernel/requests.rs
@@ -267,7 +267,7 @@
         let max_attempts = if unsent {
             retry::MOST_UNSENT
         } else {
-            retry::MOST_ATTEMPTS
+            retry::MAX_ATTEMPTS
         };
         let exhausted = !other_usable && sent.attempts >= max_attempts;
         let worst = sent.worst.max(cause.verdict);
--- a/crates/kernel/src/retry.rs
+++ b/crates/kernel/src/retry.rs
@@ -18,7 +18,7 @@
 use crate::id::Request;
 
 /// Limit of attempts, the first included, while no target works.
-pub const MOST_ATTEMPTS: u32 = 4;
+pub const MAX_ATTEMPTS: u32 = 4;
 
 /// Limit of attempts if the last did not reach its target and none works.
 pub const MOST_UNSENT: u32 = 8;
