--- a/crates/kernel/src/kernel/requests.rs
+++ b/crates/kernel/src/kernel/requests.rs
@@ -265,7 +265,7 @@
         );
         let budget_exempt = other_usable || unsent;
         let max_attempts = if unsent {
-            retry::MOST_UNSENT
+            retry::MAX_UNSENT_ATTEMPTS
         } else {
             retry::MAX_ATTEMPTS
         };
--- a/crates/kernel/src/retry.rs
+++ b/crates/kernel/src/retry.rs
@@ -21,7 +21,7 @@
 pub const MAX_ATTEMPTS: u32 = 4;
 
 /// Limit of attempts if the last did not reach its target and none works.
-pub const MOST_UNSENT: u32 = 8;
+pub const MAX_UNSENT_ATTEMPTS: u32 = 8;
 
 /// Backoff before the second attempt, without jitter.
 pub const FIRST_WAIT: Duration = Duration::from_millis(20);
