--- a/crates/kernel/src/retry.rs
+++ b/crates/kernel/src/retry.rs
@@ -2,7 +2,7 @@
 //!
 //! Whether a retry is allowed at all depends on the verdict and on whether the
 //! request is repeatable (see [`crate::request`]). Backoff doubles from
-//! [`FIRST_WAIT`] to [`LONGEST_WAIT`], with jitter drawn from the settings' seed.
+//! [`MIN_BACKOFF`] to [`LONGEST_WAIT`], with jitter drawn from the settings' seed.
 //!
 //! Retries are paid from a budget to which each first attempt adds
 //! [`BUDGET_SHARE`]. While every target fails, retries therefore add at most a tenth
@@ -24,7 +24,7 @@
 pub const MAX_UNSENT_ATTEMPTS: u32 = 8;
 
 /// Backoff before the second attempt, without jitter.
-pub const FIRST_WAIT: Duration = Duration::from_millis(20);
+pub const MIN_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Longest backoff, without jitter.
 pub const LONGEST_WAIT: Duration = Duration::from_secs(1);
@@ -76,7 +76,7 @@
 /// Backoff after `attempts` attempts.
 #[must_use]
 pub fn wait(seed: u64, request: Request, attempts: u32) -> Duration {
-    let doubled = FIRST_WAIT * 2u32.saturating_pow(attempts.saturating_sub(1));
+    let doubled = MIN_BACKOFF * 2u32.saturating_pow(attempts.saturating_sub(1));
     let base = doubled.min(LONGEST_WAIT);
     let mut bytes = [0; 12];
     bytes[..8].copy_from_slice(&request.0.to_le_bytes());
