--- a/crates/kernel/src/retry.rs
+++ b/crates/kernel/src/retry.rs
@@ -2,7 +2,7 @@
 //!
 //! Whether a retry is allowed at all depends on the verdict and on whether the
 //! request is repeatable (see [`crate::request`]). Backoff doubles from
-//! [`MIN_BACKOFF`] to [`LONGEST_WAIT`], with jitter drawn from the settings' seed.
+//! [`MIN_BACKOFF`] to [`MAX_BACKOFF`], with jitter drawn from the settings' seed.
 //!
 //! Retries are paid from a budget to which each first attempt adds
 //! [`BUDGET_SHARE`]. While every target fails, retries therefore add at most a tenth
@@ -27,7 +27,7 @@
 pub const MIN_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Longest backoff, without jitter.
-pub const LONGEST_WAIT: Duration = Duration::from_secs(1);
+pub const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Amount that a first attempt adds to the budget, in thousandths of a retry.
 pub const BUDGET_SHARE: u64 = 100;
@@ -77,7 +77,7 @@
 #[must_use]
 pub fn wait(seed: u64, request: Request, attempts: u32) -> Duration {
     let doubled = MIN_BACKOFF * 2u32.saturating_pow(attempts.saturating_sub(1));
-    let base = doubled.min(LONGEST_WAIT);
+    let base = doubled.min(MAX_BACKOFF);
     let mut bytes = [0; 12];
     bytes[..8].copy_from_slice(&request.0.to_le_bytes());
     bytes[8..].copy_from_slice(&attempts.to_le_bytes());
