--- a/crates/kernel/src/retry.rs
+++ b/crates/kernel/src/retry.rs
@@ -5,7 +5,7 @@
 //! [`MIN_BACKOFF`] to [`MAX_BACKOFF`], with jitter drawn from the settings' seed.
 //!
 //! Retries are paid from a budget to which each first attempt adds
-//! [`BUDGET_SHARE`]. While every target fails, retries therefore add at most a tenth
+//! [`EARNED_PER_REQUEST_PERMILLE`]. While every target fails, retries therefore add at most a tenth
 //! to the load of each router and hence of the fleet. A retry is exempt when the
 //! attempt did not reach its target, which adds no load there, or did not run while
 //! another target works; such a request is retried until its deadline or the queue
@@ -30,7 +30,7 @@
 pub const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Amount that a first attempt adds to the budget, in thousandths of a retry.
-pub const BUDGET_SHARE: u64 = 100;
+pub const EARNED_PER_REQUEST_PERMILLE: u64 = 100;
 
 /// Largest budget, in thousandths of a retry; also the initial one.
 pub const BUDGET_MOST: u64 = 10_000;
@@ -58,9 +58,9 @@
         Self::default()
     }
 
-    /// Adds [`BUDGET_SHARE`] for a first attempt.
+    /// Adds [`EARNED_PER_REQUEST_PERMILLE`] for a first attempt.
     pub fn earn(&mut self) {
-        self.thousandths = (self.thousandths + BUDGET_SHARE).min(BUDGET_MOST);
+        self.thousandths = (self.thousandths + EARNED_PER_REQUEST_PERMILLE).min(BUDGET_MOST);
     }
 
     /// Takes one retry from the budget; false if less than one is left.
