--- a/crates/kernel/src/retry.rs
+++ b/crates/kernel/src/retry.rs
@@ -33,7 +33,7 @@
 pub const EARNED_PER_REQUEST_PERMILLE: u64 = 100;
 
 /// Largest budget, in thousandths of a retry; also the initial one.
-pub const BUDGET_MOST: u64 = 10_000;
+pub const MAX_BUDGET_PERMILLE: u64 = 10_000;
 
 const THOUSANDTHS: u64 = 1_000;
 
@@ -46,7 +46,7 @@
 impl Default for Budget {
     fn default() -> Self {
         Self {
-            thousandths: BUDGET_MOST,
+            thousandths: MAX_BUDGET_PERMILLE,
         }
     }
 }
@@ -60,7 +60,8 @@
 
     /// Adds [`EARNED_PER_REQUEST_PERMILLE`] for a first attempt.
     pub fn earn(&mut self) {
-        self.thousandths = (self.thousandths + EARNED_PER_REQUEST_PERMILLE).min(BUDGET_MOST);
+        self.thousandths =
+            (self.thousandths + EARNED_PER_REQUEST_PERMILLE).min(MAX_BUDGET_PERMILLE);
     }
 
     /// Takes one retry from the budget; false if less than one is left.
