--- a/crates/kernel/src/kernel/requests.rs
+++ b/crates/kernel/src/kernel/requests.rs
@@ -273,8 +273,8 @@
         let worst = sent.worst.max(cause.verdict);
         match sent.failed(cause.verdict, delivered) {
             Failed::Again(waiting) if !exhausted && (budget_exempt || self.budget.spend()) => {
-                let wait = retry::wait(self.settings.seed, request, waiting.attempts);
-                self.backoffs.insert((now + wait, request));
+                let backoff = retry::backoff(self.settings.seed, request, waiting.attempts);
+                self.backoffs.insert((now + backoff, request));
                 self.requests.insert(request, Life::Backoff(waiting));
                 actions.push(Action::Retry {
                     request,
--- a/crates/kernel/src/retry.rs
+++ b/crates/kernel/src/retry.rs
@@ -76,7 +76,7 @@
 
 /// Backoff after `attempts` attempts.
 #[must_use]
-pub fn wait(seed: u64, request: Request, attempts: u32) -> Duration {
+pub fn backoff(seed: u64, request: Request, attempts: u32) -> Duration {
     let doubled = MIN_BACKOFF * 2u32.saturating_pow(attempts.saturating_sub(1));
     let base = doubled.min(MAX_BACKOFF);
     let mut bytes = [0; 12];
