--- a/crates/kernel/src/kernel/requests.rs
+++ b/crates/kernel/src/kernel/requests.rs
@@ -9,7 +9,7 @@
 use crate::event::{Arrival, Class, Outcome};
 use crate::id::{Request, Service, Target};
 use crate::queue::Lane;
-use crate::request::{self, Failed, Life, Sent, Waiting};
+use crate::request::{self, Decision, Life, Sent, Waiting};
 use crate::retry;
 use crate::table::Table;
 use crate::time::Instant;
@@ -272,7 +272,7 @@
         let exhausted = !other_usable && sent.attempts >= max_attempts;
         let worst = sent.worst.max(cause.verdict);
         match sent.failed(cause.verdict, delivered) {
-            Failed::Again(waiting) if !exhausted && (budget_exempt || self.budget.spend()) => {
+            Decision::Again(waiting) if !exhausted && (budget_exempt || self.budget.spend()) => {
                 let backoff = retry::backoff(self.settings.seed, request, waiting.attempts);
                 self.backoffs.insert((now + backoff, request));
                 self.requests.insert(request, Life::Backoff(waiting));
@@ -281,7 +281,7 @@
                     failure: cause.failure,
                 });
             }
-            Failed::Again(_) if !exhausted => {
+            Decision::Again(_) if !exhausted => {
                 self.refuse(
                     request,
                     Refusal::RetryBudget,
@@ -290,7 +290,7 @@
                     actions,
                 );
             }
-            Failed::Again(_) | Failed::Over => {
+            Decision::Again(_) | Decision::Over => {
                 self.refuse(
                     request,
                     Refusal::TargetFailed,
--- a/crates/kernel/src/request.rs
+++ b/crates/kernel/src/request.rs
@@ -70,7 +70,7 @@
 
 /// What follows a failed attempt.
 #[derive(Clone, Debug)]
-pub enum Failed {
+pub enum Decision {
     /// The request may be retried: it did not run or is repeatable, and the caller has
     /// received nothing.
     Again(Request<Waiting>),
@@ -82,12 +82,12 @@
     /// Ends a failed attempt. A retry is allowed if the request did not run or is
     /// repeatable, and no byte of an answer was `delivered` to the caller.
     #[must_use]
-    pub fn failed(self, verdict: Verdict, delivered: bool) -> Failed {
+    pub fn failed(self, verdict: Verdict, delivered: bool) -> Decision {
         let retriable = verdict == Verdict::NotRun || self.arrival.repeatable;
         if delivered || !retriable {
-            return Failed::Over;
+            return Decision::Over;
         }
-        Failed::Again(Request {
+        Decision::Again(Request {
             arrival: self.arrival,
             arrived: self.arrived,
             attempts: self.attempts,
