--- a/crates/kernel/src/kernel/requests.rs
+++ b/crates/kernel/src/kernel/requests.rs
@@ -272,7 +272,7 @@
         let exhausted = !other_usable && sent.attempts >= max_attempts;
         let worst = sent.worst.max(cause.verdict);
         match sent.failed(cause.verdict, delivered) {
-            Decision::Again(waiting) if !exhausted && (budget_exempt || self.budget.spend()) => {
+            Decision::Retry(waiting) if !exhausted && (budget_exempt || self.budget.spend()) => {
                 let backoff = retry::backoff(self.settings.seed, request, waiting.attempts);
                 self.backoffs.insert((now + backoff, request));
                 self.requests.insert(request, Life::Backoff(waiting));
@@ -281,7 +281,7 @@
                     failure: cause.failure,
                 });
             }
-            Decision::Again(_) if !exhausted => {
+            Decision::Retry(_) if !exhausted => {
                 self.refuse(
                     request,
                     Refusal::RetryBudget,
@@ -290,7 +290,7 @@
                     actions,
                 );
             }
-            Decision::Again(_) | Decision::Over => {
+            Decision::Retry(_) | Decision::Over => {
                 self.refuse(
                     request,
                     Refusal::TargetFailed,
--- a/crates/kernel/src/request.rs
+++ b/crates/kernel/src/request.rs
@@ -73,7 +73,7 @@
 pub enum Decision {
     /// The request may be retried: it did not run or is repeatable, and the caller has
     /// received nothing.
-    Again(Request<Waiting>),
+    Retry(Request<Waiting>),
     /// The request may not be retried.
     Over,
 }
@@ -87,7 +87,7 @@
         if delivered || !retriable {
             return Decision::Over;
         }
-        Decision::Again(Request {
+        Decision::Retry(Request {
             arrival: self.arrival,
             arrived: self.arrived,
             attempts: self.attempts,
