--- a/crates/kernel/src/kernel/requests.rs
+++ b/crates/kernel/src/kernel/requests.rs
@@ -290,7 +290,7 @@
                     actions,
                 );
             }
-            Decision::Retry(_) | Decision::Over => {
+            Decision::Retry(_) | Decision::Stop => {
                 self.refuse(
                     request,
                     Refusal::TargetFailed,
--- a/crates/kernel/src/request.rs
+++ b/crates/kernel/src/request.rs
@@ -75,7 +75,7 @@
     /// received nothing.
     Retry(Request<Waiting>),
     /// The request may not be retried.
-    Over,
+    Stop,
 }
 
 impl Request<Sent> {
@@ -85,7 +85,7 @@
     pub fn failed(self, verdict: Verdict, delivered: bool) -> Decision {
         let retriable = verdict == Verdict::NotRun || self.arrival.repeatable;
         if delivered || !retriable {
-            return Decision::Over;
+            return Decision::Stop;
         }
         Decision::Retry(Request {
             arrival: self.arrival,
