--- a/crates/kernel/src/kernel/requests.rs
+++ b/crates/kernel/src/kernel/requests.rs
@@ -270,7 +270,7 @@
             retry::MAX_ATTEMPTS
         };
         let exhausted = !other_usable && sent.attempts >= max_attempts;
-        let worst = sent.worst.max(cause.verdict);
+        let worst = sent.worst_verdict.max(cause.verdict);
         match sent.failed(cause.verdict, delivered) {
             Decision::Retry(waiting) if !exhausted && (budget_exempt || self.budget.spend()) => {
                 let backoff = retry::backoff(self.settings.seed, request, waiting.attempts);
@@ -370,7 +370,9 @@
             return;
         };
         let (arrival, worst) = match life {
-            Life::Waiting(request) | Life::Backoff(request) => (&request.arrival, request.worst),
+            Life::Waiting(request) | Life::Backoff(request) => {
+                (&request.arrival, request.worst_verdict)
+            }
             Life::Sent(request) => (&request.arrival, Verdict::MayHaveRun),
         };
         let deadline = arrival.deadline.filter(|deadline| *deadline <= now);
--- a/crates/kernel/src/request.rs
+++ b/crates/kernel/src/request.rs
@@ -37,7 +37,7 @@
     /// Number of attempts so far.
     pub attempts: u32,
     /// The worst verdict of all attempts so far.
-    pub worst: Verdict,
+    pub worst_verdict: Verdict,
     /// The stage.
     pub stage: Stage,
 }
@@ -50,7 +50,7 @@
             arrival,
             arrived,
             attempts: 0,
-            worst: Verdict::NotRun,
+            worst_verdict: Verdict::NotRun,
             stage: Waiting,
         }
     }
@@ -62,7 +62,7 @@
             arrival: self.arrival,
             arrived: self.arrived,
             attempts: self.attempts + 1,
-            worst: self.worst,
+            worst_verdict: self.worst_verdict,
             stage: Sent { target, meter, at },
         }
     }
@@ -91,7 +91,7 @@
             arrival: self.arrival,
             arrived: self.arrived,
             attempts: self.attempts,
-            worst: self.worst.max(verdict),
+            worst_verdict: self.worst_verdict.max(verdict),
             stage: Waiting,
         })
     }
