--- a/crates/kernel/src/request.rs
+++ b/crates/kernel/src/request.rs
@@ -24,7 +24,7 @@
     /// Meter of its charge.
     pub meter: Meter,
     /// Time at which it was sent.
-    pub at: Instant,
+    pub sent_at: Instant,
 }
 
 /// A request in one stage.
@@ -57,13 +57,17 @@
 
     /// Marks the request as sent to a target and counts the attempt.
     #[must_use]
-    pub fn send(self, at: Instant, target: Target, meter: Meter) -> Request<Sent> {
+    pub fn send(self, sent_at: Instant, target: Target, meter: Meter) -> Request<Sent> {
         Request {
             arrival: self.arrival,
             arrived: self.arrived,
             attempts: self.attempts + 1,
             worst_verdict: self.worst_verdict,
-            stage: Sent { target, meter, at },
+            stage: Sent {
+                target,
+                meter,
+                sent_at,
+            },
         }
     }
 }
