--- a/crates/kernel/src/kernel/messages.rs
+++ b/crates/kernel/src/kernel/messages.rs
@@ -150,12 +150,14 @@
         }
         for (lane, lines) in self.queue.lanes() {
             for (customer, line) in lines {
-                let has_overdue = line.heads().any(|head| match self.requests.get(&head) {
-                    Some(Life::Waiting(request)) => {
-                        now.since(request.arrived) >= self.settings.round
-                    }
-                    _ => false,
-                });
+                let has_overdue =
+                    line.first_by_class()
+                        .any(|head| match self.requests.get(&head) {
+                            Some(Life::Waiting(request)) => {
+                                now.since(request.arrived) >= self.settings.round
+                            }
+                            _ => false,
+                        });
                 if has_overdue {
                     let pool = table.pool(lane.service);
                     self.book.get_mut(pool, *customer).overdue = true;
--- a/crates/kernel/src/queue.rs
+++ b/crates/kernel/src/queue.rs
@@ -54,7 +54,7 @@
     }
 
     /// The first request of each class.
-    pub fn heads(&self) -> impl Iterator<Item = Request> {
+    pub fn first_by_class(&self) -> impl Iterator<Item = Request> {
         let heads = [self.quick.front(), self.long.front()];
         heads.into_iter().flatten().copied()
     }
