--- a/crates/kernel/src/queue.rs
+++ b/crates/kernel/src/queue.rs
@@ -22,12 +22,12 @@
 
 /// A customer's waiting requests in a lane.
 #[derive(Clone, Debug, Default)]
-pub struct Line {
+pub struct Backlog {
     quick: VecDeque<Request>,
     long: VecDeque<Request>,
 }
 
-impl Line {
+impl Backlog {
     fn class_mut(&mut self, class: Class) -> &mut VecDeque<Request> {
         match class {
             Class::Quick => &mut self.quick,
@@ -69,7 +69,7 @@
 /// All waiting requests.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
-    lanes: BTreeMap<Lane, BTreeMap<Customer, Line>>,
+    lanes: BTreeMap<Lane, BTreeMap<Customer, Backlog>>,
     counts: BTreeMap<Customer, usize>,
     len: usize,
 }
@@ -140,17 +140,17 @@
     }
 
     /// Lanes with waiting requests, and those requests by customer.
-    pub fn lanes(&self) -> impl Iterator<Item = (Lane, &BTreeMap<Customer, Line>)> {
+    pub fn lanes(&self) -> impl Iterator<Item = (Lane, &BTreeMap<Customer, Backlog>)> {
         self.lanes.iter().map(|(lane, lines)| (*lane, lines))
     }
 
     /// The waiting requests of a lane, by customer.
     #[must_use]
-    pub fn lane(&self, lane: Lane) -> Option<&BTreeMap<Customer, Line>> {
+    pub fn lane(&self, lane: Lane) -> Option<&BTreeMap<Customer, Backlog>> {
         self.lanes.get(&lane)
     }
 
-    fn backlog_mut(&mut self, lane: Lane, customer: Customer) -> &mut Line {
+    fn backlog_mut(&mut self, lane: Lane, customer: Customer) -> &mut Backlog {
         self.lanes
             .entry(lane)
             .or_default()
--- a/crates/kernel/src/verify.rs
+++ b/crates/kernel/src/verify.rs
@@ -70,7 +70,7 @@
         .queue()
         .lanes()
         .flat_map(|(_, lines)| lines.values())
-        .map(crate::queue::Line::len)
+        .map(crate::queue::Backlog::len)
         .sum();
     if lines != waiting || kernel.queue().len() != waiting {
         violations.push(Violation::QueueLength {
