--- a/crates/kernel/src/health.rs
+++ b/crates/kernel/src/health.rs
@@ -46,7 +46,7 @@
     }
 
     /// Records a failure; `refused` if the request did not run.
-    pub fn fail(&mut self, now: Instant, target: Target, refused: bool) {
+    pub fn record_failure(&mut self, now: Instant, target: Target, refused: bool) {
         let record = self.records.entry(target).or_insert(Record {
             failures: 0,
             ejected_until: Instant::ZERO,
--- a/crates/kernel/src/kernel/requests.rs
+++ b/crates/kernel/src/kernel/requests.rs
@@ -254,7 +254,7 @@
         };
         let refused = cause.verdict == Verdict::NotRun;
         if cause.failure != Failure::Cancelled {
-            self.health.fail(now, sent.stage.target, refused);
+            self.health.record_failure(now, sent.stage.target, refused);
         }
         // The retry budget and the limit of attempts bound retries while no target works.
         // A request that did not run is retried regardless while another target is usable.
