--- a/crates/kernel/src/health.rs
+++ b/crates/kernel/src/health.rs
@@ -60,7 +60,7 @@
     }
 
     /// Records a success, which ends any ejection.
-    pub fn succeed(&mut self, target: Target) {
+    pub fn record_success(&mut self, target: Target) {
         self.records.remove(&target);
     }
 
--- a/crates/kernel/src/kernel/requests.rs
+++ b/crates/kernel/src/kernel/requests.rs
@@ -232,7 +232,7 @@
         let Some(sent) = self.release_slot(now, request, units) else {
             return;
         };
-        self.health.succeed(sent.stage.target);
+        self.health.record_success(sent.stage.target);
         self.estimates
             .entry((sent.arrival.service, sent.arrival.customer))
             .or_default()
