--- a/crates/kernel/src/health.rs
+++ b/crates/kernel/src/health.rs
@@ -66,7 +66,7 @@
 
     /// Whether a target is ejected.
     #[must_use]
-    pub fn ejected(&self, now: Instant, target: Target) -> bool {
+    pub fn is_ejected(&self, now: Instant, target: Target) -> bool {
         self.records
             .get(&target)
             .is_some_and(|record| now < record.ejected_until)
@@ -75,7 +75,7 @@
     /// Whether requests of a service may be sent to a target.
     #[must_use]
     pub fn allows(&self, now: Instant, table: &Table, service: Service, target: Target) -> bool {
-        !self.ejected(now, target) || self.all_ejected(now, table, service)
+        !self.is_ejected(now, target) || self.all_ejected(now, table, service)
     }
 
     /// Whether every open target of a service is ejected.
@@ -85,6 +85,6 @@
         targets
             .iter()
             .filter(|target| table.targets[target.row()].open())
-            .all(|target| self.ejected(now, *target))
+            .all(|target| self.is_ejected(now, *target))
     }
 }
--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -269,7 +269,7 @@
                 let row = &table.targets[target.row()];
                 holding.recalled()
                     || !row.open()
-                    || self.health.ejected(now, *target)
+                    || self.health.is_ejected(now, *target)
                     || now.since(holding.idle_since) >= self.settings.hold
                     || row
                         .services
@@ -279,7 +279,7 @@
             .map(|(target, _)| target)
             .collect();
         for target in idle {
-            let unusable = self.health.ejected(now, target);
+            let unusable = self.health.is_ejected(now, target);
             self.holder.mark(target, unusable);
             self.holder.release(now, table, target, &mut self.outbox);
         }
