--- a/crates/kernel/src/health.rs
+++ b/crates/kernel/src/health.rs
@@ -84,7 +84,7 @@
         let targets = &table.services[service.row()].targets;
         targets
             .iter()
-            .filter(|target| table.targets[target.row()].open())
+            .filter(|target| table.targets[target.row()].accepts_work())
             .all(|target| self.is_ejected(now, *target))
     }
 }
--- a/crates/kernel/src/kernel/requests.rs
+++ b/crates/kernel/src/kernel/requests.rs
@@ -75,7 +75,7 @@
             .filter(|row| row.live)
             .ok_or(Refusal::ServiceRemoved)?;
         let servable = service.targets.iter().any(|target| {
-            table.targets[target.row()].open()
+            table.targets[target.row()].accepts_work()
                 && table.serves(*target, arrival.service, arrival.model)
         });
         if !servable {
--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -145,7 +145,9 @@
         let free: Vec<Target> = self
             .holder
             .all()
-            .filter(|(target, holding)| holding.free() > 0 && table.targets[target.row()].open())
+            .filter(|(target, holding)| {
+                holding.free() > 0 && table.targets[target.row()].accepts_work()
+            })
             .map(|(target, _)| target)
             .collect();
         if free.is_empty() {
@@ -268,7 +270,7 @@
             .filter(|(target, holding)| {
                 let row = &table.targets[target.row()];
                 holding.recalled()
-                    || !row.open()
+                    || !row.accepts_work()
                     || self.health.is_ejected(now, *target)
                     || now.since(holding.idle_since) >= self.settings.hold
                     || row
@@ -398,7 +400,7 @@
             let Some(owner) = self.owners.get(target) else {
                 continue;
             };
-            if !row.open() || !table.serves(*target, lane.service, lane.model) {
+            if !row.accepts_work() || !table.serves(*target, lane.service, lane.model) {
                 continue;
             }
             let spare = self.rounds.spare().contains(&row.key);
--- a/crates/kernel/src/owner/fill.rs
+++ b/crates/kernel/src/owner/fill.rs
@@ -107,7 +107,7 @@
         let Some(owned) = self.owned.get_mut(&target) else {
             return;
         };
-        if now < owned.open_at || !row.open() || !wanted {
+        if now < owned.open_at || !row.accepts_work() || !wanted {
             // Nothing to wait for; a time that is kept would wake the router without end.
             owned.gather = None;
             return;
--- a/crates/kernel/src/owner/mod.rs
+++ b/crates/kernel/src/owner/mod.rs
@@ -204,7 +204,7 @@
             .iter()
             .filter(|(target, owned)| {
                 let row = &table.targets[target.row()];
-                let free = row.open() && now >= owned.open_at && owned.held() < row.slots;
+                let free = row.accepts_work() && now >= owned.open_at && owned.held() < row.slots;
                 free && !self.wanted(table, **target)
             })
             .map(|(target, _)| table.targets[target.row()].key)
--- a/crates/kernel/src/table.rs
+++ b/crates/kernel/src/table.rs
@@ -141,7 +141,7 @@
 impl TargetRow {
     /// Whether the target takes new work.
     #[must_use]
-    pub const fn open(&self) -> bool {
+    pub const fn accepts_work(&self) -> bool {
         self.live && !self.leaving
     }
 }
--- a/crates/trial/src/inject.rs
+++ b/crates/trial/src/inject.rs
@@ -372,7 +372,7 @@
 
     /// Whether a target cannot be given work, for other reasons than a cut.
     pub(crate) fn shut(&self, target: usize) -> bool {
-        let open = self.table.targets[target].open();
+        let open = self.table.targets[target].accepts_work();
         !open
             || matches!(
                 self.inject.manners[target],
