--- a/crates/kernel/src/kernel/messages.rs
+++ b/crates/kernel/src/kernel/messages.rs
@@ -7,7 +7,7 @@
 use crate::key::Key;
 use crate::member::{Heard, Listed};
 use crate::message::{Grant, Hold, Message};
-use crate::request::Life;
+use crate::request::State;
 use crate::round::Scope;
 use crate::settings::Admission;
 use crate::table::Table;
@@ -153,7 +153,7 @@
                 let has_overdue =
                     line.first_by_class()
                         .any(|head| match self.requests.get(&head) {
-                            Some(Life::Waiting(request)) => {
+                            Some(State::Waiting(request)) => {
                                 now.since(request.arrived) >= self.settings.round
                             }
                             _ => false,
--- a/crates/kernel/src/kernel/mod.rs
+++ b/crates/kernel/src/kernel/mod.rs
@@ -26,7 +26,7 @@
 use crate::owner::Owner;
 use crate::plugin::{self, Placement};
 use crate::queue::{Lane, Queue};
-use crate::request::Life;
+use crate::request::State;
 use crate::retry::Budget;
 use crate::round::Rounds;
 use crate::settings::{Admission, Settings};
@@ -67,7 +67,7 @@
     book: Book,
     rounds: Rounds,
     queue: Queue,
-    requests: BTreeMap<Request, Life>,
+    requests: BTreeMap<Request, State>,
     owner: Owner,
     holder: Holder,
     health: Health,
@@ -222,7 +222,7 @@
     }
 
     /// All requests at this router with their states.
-    pub fn requests(&self) -> impl Iterator<Item = (Request, &Life)> {
+    pub fn requests(&self) -> impl Iterator<Item = (Request, &State)> {
         self.requests.iter().map(|(request, life)| (*request, life))
     }
 
--- a/crates/kernel/src/kernel/requests.rs
+++ b/crates/kernel/src/kernel/requests.rs
@@ -9,7 +9,7 @@
 use crate::event::{Arrival, Class, Outcome};
 use crate::id::{Request, Service, Target};
 use crate::queue::Lane;
-use crate::request::{self, Decision, Life, Sent, Waiting};
+use crate::request::{self, Decision, Sent, State, Waiting};
 use crate::retry;
 use crate::table::Table;
 use crate::time::Instant;
@@ -55,7 +55,7 @@
         let waiting = request::Request::new(arrival, now);
         self.enqueue(&waiting, false);
         self.send_wants_at = now;
-        self.requests.insert(request, Life::Waiting(waiting));
+        self.requests.insert(request, State::Waiting(waiting));
     }
 
     /// Checks whether a request can be queued; the error is the reason for its refusal.
@@ -125,7 +125,7 @@
         target: Target,
         actions: &mut Vec<Action>,
     ) {
-        let Some(Life::Waiting(waiting)) = self.requests.remove(&request) else {
+        let Some(State::Waiting(waiting)) = self.requests.remove(&request) else {
             return;
         };
         self.dequeue(&waiting.arrival);
@@ -142,7 +142,7 @@
             attempt: sent.attempts,
             target,
         });
-        self.requests.insert(request, Life::Sent(sent));
+        self.requests.insert(request, State::Sent(sent));
     }
 
     /// Estimated cost of a request, in units.
@@ -164,7 +164,7 @@
     }
 
     pub(super) fn record_progress(&mut self, request: Request, attempt: u32, units: u64) {
-        let Some(Life::Sent(sent)) = self.requests.get_mut(&request) else {
+        let Some(State::Sent(sent)) = self.requests.get_mut(&request) else {
             self.dropped.late_events += 1;
             return;
         };
@@ -185,7 +185,7 @@
         request: Request,
         units: u64,
     ) -> Option<request::Request<Sent>> {
-        let Some(Life::Sent(mut sent)) = self.requests.remove(&request) else {
+        let Some(State::Sent(mut sent)) = self.requests.remove(&request) else {
             return None;
         };
         let pool = self.pool(sent.arrival.service);
@@ -208,7 +208,7 @@
     ) {
         let current = matches!(
             self.requests.get(&request),
-            Some(Life::Sent(sent)) if sent.attempts == attempt
+            Some(State::Sent(sent)) if sent.attempts == attempt
         );
         if !current {
             self.dropped.late_events += 1;
@@ -275,7 +275,7 @@
             Decision::Retry(waiting) if !exhausted && (budget_exempt || self.budget.spend()) => {
                 let backoff = retry::backoff(self.settings.seed, request, waiting.attempts);
                 self.backoffs.insert((now + backoff, request));
-                self.requests.insert(request, Life::Backoff(waiting));
+                self.requests.insert(request, State::Backoff(waiting));
                 actions.push(Action::Retry {
                     request,
                     failure: cause.failure,
@@ -315,9 +315,9 @@
                 return;
             }
             self.backoffs.pop_first();
-            if let Some(Life::Backoff(waiting)) = self.requests.remove(&request) {
+            if let Some(State::Backoff(waiting)) = self.requests.remove(&request) {
                 self.enqueue(&waiting, true);
-                self.requests.insert(request, Life::Waiting(waiting));
+                self.requests.insert(request, State::Waiting(waiting));
             }
         }
     }
@@ -329,16 +329,16 @@
         actions: &mut Vec<Action>,
     ) {
         match self.requests.get(&request) {
-            Some(Life::Sent(sent)) => {
+            Some(State::Sent(sent)) => {
                 let (attempt, used) = (sent.attempts, sent.stage.meter.used());
                 actions.push(Action::Cancel { request, attempt });
                 self.release_slot(now, request, used);
             }
-            Some(Life::Waiting(waiting)) => {
+            Some(State::Waiting(waiting)) => {
                 let arrival = waiting.arrival.clone();
                 self.dequeue(&arrival);
             }
-            Some(Life::Backoff(_)) => {}
+            Some(State::Backoff(_)) => {}
             None => {
                 self.dropped.late_events += 1;
                 return;
@@ -370,13 +370,13 @@
             return;
         };
         let (arrival, worst) = match life {
-            Life::Waiting(request) | Life::Backoff(request) => {
+            State::Waiting(request) | State::Backoff(request) => {
                 (&request.arrival, request.worst_verdict)
             }
-            Life::Sent(request) => (&request.arrival, Verdict::MayHaveRun),
+            State::Sent(request) => (&request.arrival, Verdict::MayHaveRun),
         };
         let deadline = arrival.deadline.filter(|deadline| *deadline <= now);
-        if let Life::Sent(sent) = life {
+        if let State::Sent(sent) = life {
             let Some(deadline) = sent.arrival.deadline else {
                 return;
             };
--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -15,7 +15,7 @@
 use crate::plugin::Candidate;
 use crate::queue::Lane;
 use crate::rendezvous;
-use crate::request::Life;
+use crate::request::State;
 use crate::settings::Admission;
 use crate::table::Table;
 use crate::time::Instant;
@@ -383,7 +383,7 @@
     fn front_cost(&self, request: Option<Request>) -> u64 {
         let life = request.and_then(|request| self.requests.get(&request));
         match life {
-            Some(Life::Waiting(waiting)) => self.reservation(&waiting.arrival),
+            Some(State::Waiting(waiting)) => self.reservation(&waiting.arrival),
             _ => 1,
         }
     }
--- a/crates/kernel/src/request.rs
+++ b/crates/kernel/src/request.rs
@@ -103,7 +103,7 @@
 
 /// A request in any stage.
 #[derive(Clone, Debug)]
-pub enum Life {
+pub enum State {
     /// Waiting in the queue.
     Waiting(Request<Waiting>),
     /// Waiting for the end of its backoff.
--- a/crates/kernel/src/verify.rs
+++ b/crates/kernel/src/verify.rs
@@ -7,7 +7,7 @@
 
 use crate::id::{Customer, Pool, Request, Target};
 use crate::kernel::Kernel;
-use crate::request::Life;
+use crate::request::State;
 use crate::settings::Admission;
 
 /// An invariant that does not hold.
@@ -61,7 +61,7 @@
 fn check_queue(kernel: &Kernel, violations: &mut Vec<Violation>) {
     let mut waiting = 0;
     for (request, life) in kernel.requests() {
-        if let Life::Waiting(_) = life {
+        if let State::Waiting(_) = life {
             waiting += 1;
             let _ = request;
         }
@@ -85,7 +85,7 @@
             };
             let found = kernel
                 .requests()
-                .any(|(request, life)| request == front && matches!(life, Life::Waiting(_)));
+                .any(|(request, life)| request == front && matches!(life, State::Waiting(_)));
             if !found {
                 violations.push(Violation::NotQueuedOnce(front));
             }
@@ -96,7 +96,7 @@
 fn check_busy(kernel: &Kernel, violations: &mut Vec<Violation>) {
     let mut sent: BTreeMap<Target, u32> = BTreeMap::new();
     for (_, life) in kernel.requests() {
-        if let Life::Sent(request) = life {
+        if let State::Sent(request) = life {
             *sent.entry(request.stage.target).or_default() += 1;
         }
     }
@@ -118,7 +118,7 @@
     };
     let mut waiting: BTreeMap<(Pool, Customer), u32> = BTreeMap::new();
     for (_, life) in kernel.requests() {
-        if let Life::Waiting(request) = life {
+        if let State::Waiting(request) = life {
             let pool = table.pool(request.arrival.service);
             *waiting.entry((pool, request.arrival.customer)).or_default() += 1;
         }
--- a/crates/trial/src/verify.rs
+++ b/crates/trial/src/verify.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use dunlinward_kernel::id::Target;
-use dunlinward_kernel::request::Life;
+use dunlinward_kernel::request::State;
 use dunlinward_kernel::time::Instant;
 
 use crate::fleet::Fleet;
@@ -169,8 +169,8 @@
                 found += 1;
                 let here = self.calls.get(&request).is_some_and(|call| call.node == at);
                 let runs = match life {
-                    Life::Sent(sent) => self.runs.contains_key(&(request, sent.attempts)),
-                    Life::Waiting(_) | Life::Backoff(_) => true,
+                    State::Sent(sent) => self.runs.contains_key(&(request, sent.attempts)),
+                    State::Waiting(_) | State::Backoff(_) => true,
                 };
                 let late = self.inject.is_paused(at);
                 if !here || !(runs || late) {
