--- a/crates/kernel/src/account.rs
+++ b/crates/kernel/src/account.rs
@@ -111,9 +111,9 @@
             .iter()
             .map(|row| i64::from(row.share))
             .collect();
-        self.rows.resize(table.pools, Vec::new());
-        self.waiting.resize(table.pools, Vec::new());
-        self.paces.resize(table.pools, Pace::default());
+        self.rows.resize(table.pool_bound, Vec::new());
+        self.waiting.resize(table.pool_bound, Vec::new());
+        self.paces.resize(table.pool_bound, Pace::default());
         for accounts in &mut self.rows {
             accounts.resize(self.shares.len(), Account::default());
         }
--- a/crates/kernel/src/table.rs
+++ b/crates/kernel/src/table.rs
@@ -193,7 +193,7 @@
     /// Targets by row.
     pub targets: Vec<TargetRow>,
     /// Bound of the pool indices, which are rows of services.
-    pub pools: usize,
+    pub pool_bound: usize,
     domain_names: Interner,
     model_names: Interner,
     customer_names: Interner,
@@ -213,7 +213,7 @@
             customers: Vec::new(),
             services: Vec::new(),
             targets: Vec::new(),
-            pools: 0,
+            pool_bound: 0,
             domain_names: Interner::new(),
             model_names: Interner::new(),
             customer_names: Interner::new(),
@@ -339,7 +339,7 @@
         for at in 0..root.len() {
             self.services[at].pool = Pool::new(find_root(&root, at));
         }
-        self.pools = root.len();
+        self.pool_bound = root.len();
     }
 
     /// The customer with a name, live or not.
