--- a/crates/kernel/src/table.rs
+++ b/crates/kernel/src/table.rs
@@ -420,7 +420,7 @@
 
     /// Number of failure domains in this and all previous tables.
     #[must_use]
-    pub fn domains(&self) -> usize {
+    pub fn domain_count(&self) -> usize {
         self.domain_names.rows.len()
     }
 
