--- a/crates/kernel/src/kernel/messages.rs
+++ b/crates/kernel/src/kernel/messages.rs
@@ -148,10 +148,11 @@
         for (_, _, account) in self.book.all_mut() {
             account.overdue = false;
         }
-        for (lane, lines) in self.queue.lanes() {
-            for (customer, line) in lines {
+        for (lane, backlogs) in self.queue.lanes() {
+            for (customer, backlog) in backlogs {
                 let has_overdue =
-                    line.first_by_class()
+                    backlog
+                        .first_by_class()
                         .any(|head| match self.requests.get(&head) {
                             Some(State::Waiting(request)) => {
                                 now.since(request.arrived) >= self.settings.round
--- a/crates/kernel/src/kernel/mod.rs
+++ b/crates/kernel/src/kernel/mod.rs
@@ -223,7 +223,9 @@
 
     /// All requests at this router with their states.
     pub fn requests(&self) -> impl Iterator<Item = (Request, &State)> {
-        self.requests.iter().map(|(request, life)| (*request, life))
+        self.requests
+            .iter()
+            .map(|(request, state)| (*request, state))
     }
 
     /// Owner of a target in this router's view.
--- a/crates/kernel/src/kernel/requests.rs
+++ b/crates/kernel/src/kernel/requests.rs
@@ -366,17 +366,17 @@
         request: Request,
         actions: &mut Vec<Action>,
     ) {
-        let Some(life) = self.requests.get(&request) else {
+        let Some(state) = self.requests.get(&request) else {
             return;
         };
-        let (arrival, worst) = match life {
+        let (arrival, worst) = match state {
             State::Waiting(request) | State::Backoff(request) => {
                 (&request.arrival, request.worst_verdict)
             }
             State::Sent(request) => (&request.arrival, Verdict::MayHaveRun),
         };
         let deadline = arrival.deadline.filter(|deadline| *deadline <= now);
-        if let State::Sent(sent) = life {
+        if let State::Sent(sent) = state {
             let Some(deadline) = sent.arrival.deadline else {
                 return;
             };
--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -154,14 +154,14 @@
             return None;
         }
         let mut best: Option<Selection> = None;
-        for (lane, lines) in self.queue.lanes() {
+        for (lane, backlogs) in self.queue.lanes() {
             let eligible = self.eligible(now, table, lane, &free);
             if eligible.is_empty() {
                 continue;
             }
             let pool = table.pool(lane.service);
-            for (customer, line) in lines {
-                let Some(request) = line.front() else {
+            for (customer, backlog) in backlogs {
+                let Some(request) = backlog.front() else {
                     continue;
                 };
                 let rank = self.rank(table, lane, *customer, request);
@@ -366,23 +366,23 @@
     }
 
     fn demands(&self, lane: Lane) -> Vec<Demand> {
-        let Some(lines) = self.queue.lane(lane) else {
+        let Some(backlogs) = self.queue.lane(lane) else {
             return Vec::new();
         };
-        lines
+        backlogs
             .iter()
-            .map(|(customer, line)| Demand {
+            .map(|(customer, backlog)| Demand {
                 lane,
                 customer: *customer,
-                count: u32::try_from(line.len()).unwrap_or(u32::MAX),
-                cost: self.front_cost(line.front()),
+                count: u32::try_from(backlog.len()).unwrap_or(u32::MAX),
+                cost: self.front_cost(backlog.front()),
             })
             .collect()
     }
 
     fn front_cost(&self, request: Option<Request>) -> u64 {
-        let life = request.and_then(|request| self.requests.get(&request));
-        match life {
+        let state = request.and_then(|request| self.requests.get(&request));
+        match state {
             Some(State::Waiting(waiting)) => self.reservation(&waiting.arrival),
             _ => 1,
         }
--- a/crates/kernel/src/queue.rs
+++ b/crates/kernel/src/queue.rs
@@ -117,10 +117,10 @@
 
     /// Removes a request from any position; true when it was present.
     pub fn remove(&mut self, lane: Lane, customer: Customer, request: Request) -> bool {
-        let Some(lines) = self.lanes.get_mut(&lane) else {
+        let Some(backlogs) = self.lanes.get_mut(&lane) else {
             return false;
         };
-        let Some(waiting) = lines.get_mut(&customer) else {
+        let Some(waiting) = backlogs.get_mut(&customer) else {
             return false;
         };
         let before = waiting.len();
@@ -128,9 +128,9 @@
         waiting.long.retain(|other| *other != request);
         let found = waiting.len() < before;
         if waiting.is_empty() {
-            lines.remove(&customer);
+            backlogs.remove(&customer);
         }
-        if lines.is_empty() {
+        if backlogs.is_empty() {
             self.lanes.remove(&lane);
         }
         if found {
@@ -141,7 +141,7 @@
 
     /// Lanes with waiting requests, and those requests by customer.
     pub fn lanes(&self) -> impl Iterator<Item = (Lane, &BTreeMap<Customer, Backlog>)> {
-        self.lanes.iter().map(|(lane, lines)| (*lane, lines))
+        self.lanes.iter().map(|(lane, backlogs)| (*lane, backlogs))
     }
 
     /// The waiting requests of a lane, by customer.
