--- a/crates/kernel/src/health.rs
+++ b/crates/kernel/src/health.rs
@@ -4,9 +4,9 @@
 //! whose answers fail after the second failure in a row. The ejection time doubles
 //! with every further failure; after it the target is used again.
 //!
-//! When all open targets of a service are ejected, any of them may be used: it is
-//! then more likely that this router is partitioned, and an attempt costs little.
-//! While one target works, the number of ejected ones is not limited: in a
+//! When all targets of a service that accept work are ejected, any of them may be
+//! used: it is then more likely that this router is partitioned, and an attempt costs
+//! little. While one target works, the number of ejected ones is not limited: in a
 //! partitioned failure domain the local targets are reachable, and trying the many
 //! others only uses up the requests' attempts.
 
@@ -78,7 +78,7 @@
         !self.is_ejected(now, target) || self.all_ejected(now, table, service)
     }
 
-    /// Whether every open target of a service is ejected.
+    /// Whether every target of a service that accepts work is ejected.
     #[must_use]
     pub fn all_ejected(&self, now: Instant, table: &Table, service: Service) -> bool {
         let targets = &table.services[service.row()].targets;
--- a/crates/kernel/src/kernel/requests.rs
+++ b/crates/kernel/src/kernel/requests.rs
@@ -256,8 +256,8 @@
         if cause.failure != Failure::Cancelled {
             self.health.record_failure(now, sent.stage.target, refused);
         }
-        // The retry budget and the limit of attempts bound retries while no target works.
-        // A request that did not run is retried regardless while another target is usable.
+        // A request that did not run is retried outside the retry budget and the limit of
+        // attempts while another target is usable; these are for when no target works.
         let other_usable = refused && self.has_usable_target(now, sent.arrival.service);
         let unsent = matches!(
             cause.failure,
@@ -302,7 +302,7 @@
         }
     }
 
-    /// Whether some open target of a service is not ejected.
+    /// Whether a target of a service accepts work and is not ejected.
     fn has_usable_target(&self, now: Instant, service: Service) -> bool {
         self.table
             .as_ref()
--- a/crates/kernel/src/retry.rs
+++ b/crates/kernel/src/retry.rs
@@ -5,11 +5,11 @@
 //! [`MIN_BACKOFF`] to [`MAX_BACKOFF`], with jitter drawn from the settings' seed.
 //!
 //! Retries are paid from a budget to which each first attempt adds
-//! [`EARNED_PER_REQUEST_PERMILLE`]. While every target fails, retries therefore add at most a tenth
-//! to the load of each router and hence of the fleet. A retry is exempt when the
-//! attempt did not reach its target, which adds no load there, or did not run while
-//! another target works; such a request is retried until its deadline or the queue
-//! timeout.
+//! [`EARNED_PER_REQUEST_PERMILLE`]. While every target fails, retries therefore add
+//! at most a tenth to the load of each router and hence of the fleet. A retry is
+//! exempt when the attempt did not reach its target, which adds no load there, or
+//! did not run while another target works; in the latter case the request is retried
+//! as long as it may wait in the queue.
 
 use std::time::Duration;
 
@@ -17,7 +17,8 @@
 
 use crate::id::Request;
 
-/// Limit of attempts, the first included, while no target works.
+/// Limit of attempts, the first included, unless the last did not run and another target
+/// works.
 pub const MAX_ATTEMPTS: u32 = 4;
 
 /// Limit of attempts if the last did not reach its target and none works.
@@ -35,6 +36,7 @@
 /// Largest budget, in thousandths of a retry; also the initial one.
 pub const MAX_BUDGET_PERMILLE: u64 = 10_000;
 
+/// Thousandths in one retry, and in one whole backoff.
 const THOUSANDTHS: u64 = 1_000;
 
 /// Remaining budget of retries.
