--- a/crates/kernel/src/holder/mod.rs
+++ b/crates/kernel/src/holder/mod.rs
@@ -20,7 +20,7 @@
 use crate::id::{Customer, Target};
 use crate::key::Key;
 use crate::message::{Grant, Hold, Message, Recall};
-use crate::owner::GRANT_LOST;
+use crate::owner::GRANT_TIMEOUT;
 use crate::queue::Lane;
 use crate::settings::Settings;
 use crate::table::Table;
@@ -271,7 +271,7 @@
         holding.recalled = true;
         holding.excess = recall.count.min(holding.held);
         let given = holding.give_excess();
-        if given || unknown || now.since(holding.stated_at) >= GRANT_LOST {
+        if given || unknown || now.since(holding.stated_at) >= GRANT_TIMEOUT {
             self.state(now, table, target, outbox);
         }
     }
--- a/crates/kernel/src/owner/fill.rs
+++ b/crates/kernel/src/owner/grant.rs
@@ -1,9 +1,9 @@
-//! Giving slots out, and asking for them back.
+//! Granting and recalling slots.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{GRANT_LOST, Owner, Unseen};
+use super::{GRANT_TIMEOUT, Owner, PendingGrant};
 use crate::account::{Book, Rank};
 use crate::id::{Customer, Target};
 use crate::key::Key;
@@ -12,7 +12,7 @@
 use crate::time::Instant;
 
 impl Owner {
-    /// Gives free slots to who comes first in the fair order.
+    /// Grants free slots of all owned targets in the fair order.
     pub fn fill(
         &mut self,
         now: Instant,
@@ -22,15 +22,15 @@
     ) {
         let targets: Vec<Target> = self.owned.keys().copied().collect();
         for target in targets {
-            self.ask_after(now, table, target, outbox);
-            self.reduce(now, table, target, outbox);
+            self.query_overdue(now, table, target, outbox);
+            self.reclaim_excess(now, table, target, outbox);
             self.fill_target(now, table, book, target, outbox);
         }
     }
 
-    /// Asks entries that do not say whether a grant has come, or whether they still
-    /// hold what they said: it may be lost, or they may have restarted unheard.
-    fn ask_after(
+    /// Queries routers that have not acknowledged a grant or repeated their report in
+    /// time: a message may be lost, or the router may have restarted unnoticed.
+    fn query_overdue(
         &mut self,
         now: Instant,
         table: &Table,
@@ -41,12 +41,14 @@
             return;
         };
         let key = table.targets[target.row()].key;
-        for (entry, grantee) in &mut owned.grantees {
-            let lately = grantee.asked.is_some_and(|at| now.since(at) < GRANT_LOST);
-            if !lately && grantee.is_silent(now) {
-                grantee.asked = Some(now);
+        for (router, grantee) in &mut owned.grantees {
+            let recently = grantee
+                .queried_at
+                .is_some_and(|at| now.since(at) < GRANT_TIMEOUT);
+            if !recently && grantee.is_overdue(now) {
+                grantee.queried_at = Some(now);
                 outbox.push((
-                    *entry,
+                    *router,
                     Message::Recall(Recall {
                         target: key,
                         count: 0,
@@ -56,9 +58,10 @@
         }
     }
 
-    /// Asks slots back that were given out twice, once a second, those first who hold
-    /// most: what a change of owners doubled would otherwise stay so.
-    fn reduce(
+    /// Recalls slots granted beyond the target's limit, at most once a second, from
+    /// the routers that hold most first. Without it, slots granted twice during a
+    /// change of owner would stay granted.
+    fn reclaim_excess(
         &mut self,
         now: Instant,
         table: &Table,
@@ -70,27 +73,27 @@
             return;
         };
         let mut excess = owned.held().saturating_sub(row.slots);
-        let lately = owned
-            .reduced
+        let recently = owned
+            .reclaimed_at
             .is_some_and(|at| now.since(at) < Duration::from_secs(1));
-        if excess == 0 || lately {
+        if excess == 0 || recently {
             return;
         }
-        owned.reduced = Some(now);
+        owned.reclaimed_at = Some(now);
         let mut holders: Vec<(u32, Key)> = owned
             .grantees
             .iter()
-            .map(|(entry, grantee)| (grantee.stated, *entry))
+            .map(|(router, grantee)| (grantee.reported, *router))
             .collect();
         holders.sort_unstable();
-        for (held, entry) in holders.into_iter().rev() {
+        for (held, router) in holders.into_iter().rev() {
             let count = held.min(excess);
             if count == 0 {
                 return;
             }
             excess -= count;
             let target = row.key;
-            outbox.push((entry, Message::Recall(Recall { target, count })));
+            outbox.push((router, Message::Recall(Recall { target, count })));
         }
     }
 
@@ -103,55 +106,56 @@
         outbox: &mut Vec<(Key, Message)>,
     ) {
         let row = &table.targets[target.row()];
-        let wanted = self.wanted(table, target);
+        let has_demand = self.has_demand(table, target);
         let Some(owned) = self.owned.get_mut(&target) else {
             return;
         };
-        if now < owned.open_at || !row.open() || !wanted {
-            // Nothing to wait for; a time that is kept would wake the router without end.
-            owned.gather = None;
+        if now < owned.open_at || !row.open() || !has_demand {
+            // A deadline left in place would wake the driver again and again.
+            owned.batch_until = None;
             return;
         }
         let mut free = row.slots.saturating_sub(owned.held());
-        if !owned.ready(now, free) {
+        if !owned.is_ready(now, free) {
             return;
         }
-        let mut given: BTreeMap<Key, Vec<Part>> = BTreeMap::new();
+        let mut granted: BTreeMap<Key, Vec<Part>> = BTreeMap::new();
         while free > 0 {
-            let Some((entry, customer)) = self.next(now, table, book, target) else {
+            let Some((router, customer)) = self.take_next(now, table, book, target) else {
                 break;
             };
-            add(
-                given.entry(entry).or_default(),
+            add_slot(
+                granted.entry(router).or_default(),
                 table.customers[customer.row()].key,
             );
             free -= 1;
         }
-        for (entry, parts) in given {
-            let message = self.grant(now, table, target, entry, parts);
-            outbox.push((entry, message));
+        for (router, parts) in granted {
+            let message = self.grant(now, table, target, router, parts);
+            outbox.push((router, message));
         }
-        // Holders that know of waiting customers give unused slots back by themselves.
+        // Holders that know of waiting customers return unused slots without a recall.
         let known = row
             .services
             .iter()
             .any(|service| book.frontier(table.pool(*service)).is_some());
         if free == 0 && !known {
-            self.recall(now, table, target, outbox);
+            self.recall_unused(now, table, target, outbox);
         }
     }
 
-    /// Whether an entry has said lately that it cannot reach a target.
-    fn shuns(&self, now: Instant, entry: Key, target: Target) -> bool {
+    /// Whether a router has recently reported that it cannot reach a target.
+    fn is_backed_off(&self, now: Instant, router: Key, target: Target) -> bool {
         self.owned
             .get(&target)
-            .and_then(|owned| owned.grantees.get(&entry))
-            .and_then(|grantee| grantee.shuns)
+            .and_then(|owned| owned.grantees.get(&router))
+            .and_then(|grantee| grantee.backoff_until)
             .is_some_and(|until| now < until)
     }
 
-    /// Takes the wish that comes first and charges it provisionally.
-    fn next(
+    /// Takes one request off the demand that ranks first. For other routers its
+    /// estimated cost is charged provisionally.
+    fn take_next(
         &mut self,
         now: Instant,
         table: &Table,
@@ -159,30 +163,32 @@
         target: Target,
     ) -> Option<(Key, Customer)> {
         let mut best: Option<(Rank, u32, Key, usize)> = None;
-        for (entry, wishes) in &self.wishes {
-            if self.shuns(now, *entry, target) {
+        for (router, demands) in &self.demands {
+            if self.is_backed_off(now, *router, target) {
                 continue;
             }
-            for (at, wish) in wishes.rows.iter().enumerate() {
-                if wish.count == 0 || !table.serves(target, wish.lane.service, wish.lane.model) {
+            for (index, demand) in demands.rows.iter().enumerate() {
+                if demand.count == 0
+                    || !table.serves(target, demand.lane.service, demand.lane.model)
+                {
                     continue;
                 }
-                let rank = book.rank(table.pool(wish.lane.service), wish.customer);
-                let place = (rank, u32::MAX - wish.count, *entry, at);
-                if best.is_none_or(|best| place < best) {
-                    best = Some(place);
+                let rank = book.rank(table.pool(demand.lane.service), demand.customer);
+                let candidate = (rank, u32::MAX - demand.count, *router, index);
+                if best.is_none_or(|best| candidate < best) {
+                    best = Some(candidate);
                 }
             }
         }
-        let (_, _, entry, at) = best?;
-        let wish = &mut self.wishes.get_mut(&entry)?.rows[at];
-        wish.count -= 1;
-        if entry != self.me {
-            let pool = table.pool(wish.lane.service);
-            let cost = i64::try_from(wish.cost).unwrap_or(i64::MAX);
-            book.get_mut(pool, wish.customer).provisional[0] += cost;
+        let (_, _, router, index) = best?;
+        let demand = &mut self.demands.get_mut(&router)?.rows[index];
+        demand.count -= 1;
+        if router != self.me {
+            let pool = table.pool(demand.lane.service);
+            let cost = i64::try_from(demand.cost).unwrap_or(i64::MAX);
+            book.get_mut(pool, demand.customer).provisional[0] += cost;
         }
-        Some((entry, wish.customer))
+        Some((router, demand.customer))
     }
 
     fn grant(
@@ -190,19 +196,19 @@
         now: Instant,
         table: &Table,
         target: Target,
-        entry: Key,
+        router: Key,
         parts: Vec<Part>,
     ) -> Message {
         let count = parts.iter().map(|part| part.count).sum();
         let mut sequence = 0;
         if let Some(owned) = self.owned.get_mut(&target) {
-            let grantee = owned.grantees.entry(entry).or_default();
+            let grantee = owned.grantees.entry(router).or_default();
             self.sequence += 1;
             sequence = self.sequence;
-            grantee.unseen.push_back(Unseen {
+            grantee.pending.push_back(PendingGrant {
                 sequence,
                 count,
-                at: now,
+                sent_at: now,
             });
         }
         Message::Grant(Grant {
@@ -212,30 +218,30 @@
         })
     }
 
-    /// Asks for unused slots back while somebody waits, once a second at most.
-    fn recall(
+    /// Recalls unused slots while requests wait, at most once a second.
+    fn recall_unused(
         &mut self,
         now: Instant,
         table: &Table,
         target: Target,
         outbox: &mut Vec<(Key, Message)>,
     ) {
-        let waits = self.wanted(table, target);
+        let has_demand = self.has_demand(table, target);
         let Some(owned) = self.owned.get_mut(&target) else {
             return;
         };
-        let lately = owned
-            .recalled
+        let recently = owned
+            .recalled_at
             .is_some_and(|at| now.since(at) < Duration::from_secs(1));
-        if !waits || lately {
+        if !has_demand || recently {
             return;
         }
-        owned.recalled = Some(now);
+        owned.recalled_at = Some(now);
         let key = table.targets[target.row()].key;
-        for (entry, grantee) in &owned.grantees {
+        for (router, grantee) in &owned.grantees {
             if grantee.held() > 0 {
                 outbox.push((
-                    *entry,
+                    *router,
                     Message::Recall(Recall {
                         target: key,
                         count: 0,
@@ -246,7 +252,8 @@
     }
 }
 
-fn add(parts: &mut Vec<Part>, customer: Key) {
+/// Adds one slot for a customer to the parts of a grant.
+fn add_slot(parts: &mut Vec<Part>, customer: Key) {
     match parts.iter_mut().find(|part| part.customer == customer) {
         Some(part) => part.count += 1,
         None => parts.push(Part { customer, count: 1 }),
--- a/crates/kernel/src/owner/mod.rs
+++ b/crates/kernel/src/owner/mod.rs
@@ -1,21 +1,21 @@
-//! Handing out a target's slots.
+//! Allocation of a target's slots by its owner.
 //!
-//! Each target has one owner, the live router of its failure domain with the
-//! greatest rendezvous weight. The owner knows what every entry wants and holds,
-//! and gives a free slot to the customer that comes first in the fair order. It
-//! needs no lease: when views differ and two routers believe that they own a
-//! target, each gives out at most the target's slots less what it was told is
-//! held, so the target sees at most twice its slots, and only until the views
-//! agree.
+//! Each target has one owner: the live router of the target's failure domain with
+//! the greatest rendezvous weight. The owner records the demand and the slots held
+//! of every router, and grants a free slot to the customer that ranks first in the
+//! fair order. No lease is needed: when membership views differ and two routers
+//! both act as owner of a target, each grants at most the target's slots minus
+//! those reported to it as held, so at most twice the target's slots are in use,
+//! and only until the views converge.
 //!
-//! What an entry holds is stated whole by the entry ([`Hold`]) and completed by
-//! the grants that it had not yet seen when it said so. A lost grant is thus found
-//! at the next statement, at the latest after [`crate::settings::Settings::restate`]
-//! and [`GRANT_LOST`]. A new owner listens for
-//! [`crate::settings::Settings::takeover`] before it grants; meanwhile entries go
-//! on using what they hold.
+//! A router reports the total that it holds ([`Hold`]); the owner adds the grants
+//! that the router had not received when it sent the report. A lost grant is thus
+//! detected with the next report, at the latest after
+//! [`crate::settings::Settings::restate`] and [`GRANT_TIMEOUT`]. A new owner collects
+//! reports for [`crate::settings::Settings::takeover`] before it grants; meanwhile
+//! routers continue to use the slots that they hold.
 
-mod fill;
+mod grant;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -27,56 +27,57 @@
 use crate::table::Table;
 use crate::time::Instant;
 
-/// After this a grant that the entry does not know of counts as lost.
-pub const GRANT_LOST: Duration = Duration::from_secs(1);
+/// Age after which an unacknowledged grant counts as lost.
+pub const GRANT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time for which wants are gathered before many free slots are given out.
-const GATHER: Duration = Duration::from_millis(5);
+/// Time for which demands are collected before a batch of free slots is granted.
+const BATCH_DELAY: Duration = Duration::from_millis(5);
 
-/// How long an entry that cannot reach a target is given no slot of it.
-const SHUN: Duration = Duration::from_secs(1);
+/// Time for which a router that cannot reach a target is granted no slots of it.
+const UNREACHABLE_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Free slots that are given out without gathering wants.
-const FEW: u32 = 2;
+/// Free slots up to which grants are made without [`BATCH_DELAY`].
+const MAX_UNBATCHED_SLOTS: u32 = 2;
 
-/// After this an entry that holds slots and has not said so again is asked; longer
+/// Age of the last report after which a router that holds slots is queried; longer
 /// than [`crate::settings::Settings::restate`].
-const SILENT: Duration = Duration::from_secs(12);
+const REPORT_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// A grant that the entry may not have seen yet.
+/// A grant that the router has not acknowledged.
 #[derive(Clone, Copy, Debug)]
-struct Unseen {
+struct PendingGrant {
     sequence: u64,
     count: u32,
-    at: Instant,
+    sent_at: Instant,
 }
 
-/// What one entry holds of one target.
+/// Slots of one target that one router holds.
 #[derive(Clone, Debug, Default)]
 struct Grantee {
-    stated: u32,
+    reported: u32,
     stamp: u64,
-    unseen: VecDeque<Unseen>,
-    /// When it last said what it holds.
-    said: Instant,
-    /// Until when it wants no slot of the target, because it cannot reach it.
-    shuns: Option<Instant>,
-    /// When it was last asked to say so.
-    asked: Option<Instant>,
+    pending: VecDeque<PendingGrant>,
+    /// Time of the last report of held slots.
+    reported_at: Instant,
+    /// Time until which no slots are granted because the router cannot reach the
+    /// target.
+    backoff_until: Option<Instant>,
+    /// Time of the last query, until a report answers it.
+    queried_at: Option<Instant>,
 }
 
 impl Grantee {
     fn held(&self) -> u32 {
-        self.stated + self.unseen.iter().map(|grant| grant.count).sum::<u32>()
+        self.reported + self.pending.iter().map(|grant| grant.count).sum::<u32>()
     }
 
-    /// Whether it ought to have said something of what it holds.
-    fn is_silent(&self, now: Instant) -> bool {
+    /// Whether a report of held slots is overdue.
+    fn is_overdue(&self, now: Instant) -> bool {
         let lost = self
-            .unseen
+            .pending
             .front()
-            .is_some_and(|grant| now.since(grant.at) >= GRANT_LOST);
-        lost || (self.stated > 0 && now.since(self.said) >= SILENT)
+            .is_some_and(|grant| now.since(grant.sent_at) >= GRANT_TIMEOUT);
+        lost || (self.reported > 0 && now.since(self.reported_at) >= REPORT_TIMEOUT)
     }
 }
 
@@ -85,27 +86,28 @@
 struct Owned {
     open_at: Instant,
     grantees: BTreeMap<Key, Grantee>,
-    recalled: Option<Instant>,
-    /// When slots given out twice were asked back.
-    reduced: Option<Instant>,
-    /// Until when wants are gathered before many free slots are given out at once.
-    gather: Option<Instant>,
+    /// Time of the last recall of unused slots.
+    recalled_at: Option<Instant>,
+    /// Time of the last recall of slots that were granted twice.
+    reclaimed_at: Option<Instant>,
+    /// Time until which demands are collected before a batch is granted.
+    batch_until: Option<Instant>,
 }
 
 impl Owned {
-    /// Whether slots may be given out now. Few are given at once; before many are,
-    /// wants are gathered for [`GATHER`], so that whoever asks first after a quiet
-    /// time does not get them all.
-    fn ready(&mut self, now: Instant, free: u32) -> bool {
-        if free <= FEW {
-            self.gather = None;
+    /// Whether `free` slots may be granted now. Up to [`MAX_UNBATCHED_SLOTS`] are
+    /// granted at once; for more, demands are collected for [`BATCH_DELAY`], so that
+    /// the first router to ask after an idle period does not receive all of them.
+    fn is_ready(&mut self, now: Instant, free: u32) -> bool {
+        if free <= MAX_UNBATCHED_SLOTS {
+            self.batch_until = None;
             return true;
         }
-        let until = *self.gather.get_or_insert(now + GATHER);
+        let until = *self.batch_until.get_or_insert(now + BATCH_DELAY);
         if now < until {
             return false;
         }
-        self.gather = None;
+        self.batch_until = None;
         true
     }
 
@@ -114,90 +116,97 @@
     }
 }
 
-/// Waiting requests of an entry that may be given slots.
+/// Waiting requests of one customer in one lane of a router.
 #[derive(Clone, Copy, Debug)]
-struct Wish {
+struct Demand {
     lane: Lane,
     customer: Customer,
     count: u32,
+    /// Estimated cost of one request, in units.
     cost: u64,
 }
 
-/// What one entry wants.
+/// Demands last reported by one router.
 #[derive(Clone, Debug, Default)]
-struct Wishes {
+struct Demands {
     stamp: u64,
-    rows: Vec<Wish>,
+    rows: Vec<Demand>,
 }
 
-/// The duties of this router as an owner.
+/// State of the targets that this router owns.
 #[derive(Debug)]
 pub struct Owner {
     me: Key,
     owned: BTreeMap<Target, Owned>,
-    wishes: BTreeMap<Key, Wishes>,
-    /// Of the last grant of any target. It is never set back, not even when a target
-    /// is given up and taken up again, which its holders may not have noticed.
+    demands: BTreeMap<Key, Demands>,
+    /// Sequence number of the last grant of any target. Never reset, not even when
+    /// ownership of a target is lost and regained, because its holders may not have
+    /// noticed the change.
     sequence: u64,
 }
 
 impl Owner {
-    /// An owner of nothing.
+    /// An owner without targets.
     #[must_use]
     pub const fn new(me: Key) -> Self {
         Self {
             me,
             owned: BTreeMap::new(),
-            wishes: BTreeMap::new(),
+            demands: BTreeMap::new(),
             sequence: 0,
         }
     }
 
-    /// Takes up and gives up targets, so that exactly `targets` are owned.
+    /// Replaces the set of owned targets; new ones are granted from `open_at` on.
     pub fn assign(&mut self, open_at: Instant, targets: &[Target]) {
         self.owned.retain(|target, _| targets.contains(target));
         for target in targets {
             self.owned.entry(*target).or_insert_with(|| Owned {
                 open_at,
                 grantees: BTreeMap::new(),
-                recalled: None,
-                reduced: None,
-                gather: None,
+                recalled_at: None,
+                reclaimed_at: None,
+                batch_until: None,
             });
         }
     }
 
-    /// Targets owned.
+    /// Owned targets.
     pub fn targets(&self) -> impl Iterator<Item = Target> {
         self.owned.keys().copied()
     }
 
-    /// Slots of an owned target that entries hold, as far as known.
+    /// Slots of an owned target that routers hold, as far as known.
     #[must_use]
     pub fn held(&self, target: Target) -> Option<u32> {
         self.owned.get(&target).map(Owned::held)
     }
 
-    /// Slots of an owned target that each entry holds, as far as known.
+    /// Slots of an owned target that each router holds, as far as known.
     pub fn grantees(&self, target: Target) -> impl Iterator<Item = (Key, u32)> {
         self.owned
             .get(&target)
             .into_iter()
             .flat_map(|owned| &owned.grantees)
-            .map(|(entry, grantee)| (*entry, grantee.held()))
+            .map(|(router, grantee)| (*router, grantee.held()))
     }
 
-    /// The next time at which an owned target may be granted by time alone.
+    /// The next time at which slots may be granted without a further event.
     #[must_use]
     pub fn opens_after(&self, now: Instant) -> Option<Instant> {
         self.owned
             .values()
-            .flat_map(|owned| [Some(owned.open_at).filter(|at| *at > now), owned.gather])
+            .flat_map(|owned| {
+                [
+                    Some(owned.open_at).filter(|at| *at > now),
+                    owned.batch_until,
+                ]
+            })
             .flatten()
             .min()
     }
 
-    /// Owned targets with free slots that nobody here waits for.
+    /// Owned targets with free slots and no reported demand.
     #[must_use]
     pub fn spare(&self, now: Instant, table: &Table) -> Vec<Key> {
         self.owned
@@ -205,27 +214,27 @@
             .filter(|(target, owned)| {
                 let row = &table.targets[target.row()];
                 let free = row.open() && now >= owned.open_at && owned.held() < row.slots;
-                free && !self.wanted(table, **target)
+                free && !self.has_demand(table, **target)
             })
             .map(|(target, _)| table.targets[target.row()].key)
             .collect()
     }
 
-    /// An entry says what it wants.
+    /// Records the demands that a router reports; outdated reports are ignored.
     pub fn want(&mut self, table: &Table, from: Key, want: &Want) {
-        let wishes = self.wishes.entry(from).or_default();
-        if want.stamp <= wishes.stamp {
+        let demands = self.demands.entry(from).or_default();
+        if want.stamp <= demands.stamp {
             return;
         }
-        wishes.stamp = want.stamp;
-        wishes.rows = want
+        demands.stamp = want.stamp;
+        demands.rows = want
             .asks
             .iter()
-            .filter_map(|ask| wish(table, ask))
+            .filter_map(|ask| resolve(table, ask))
             .collect();
     }
 
-    /// An entry says what it holds.
+    /// Records the slots that a router reports as held; outdated reports are ignored.
     pub fn hold(&mut self, now: Instant, from: Key, target: Target, hold: &Hold) {
         let Some(owned) = self.owned.get_mut(&target) else {
             return;
@@ -235,39 +244,42 @@
             return;
         }
         grantee.stamp = hold.stamp;
-        grantee.stated = hold.count;
-        grantee.shuns = hold.unusable.then_some(now + SHUN);
-        grantee.said = now;
-        grantee.asked = None;
-        grantee
-            .unseen
-            .retain(|grant| grant.sequence > hold.sequence && now.since(grant.at) < GRANT_LOST);
+        grantee.reported = hold.count;
+        grantee.backoff_until = hold.unusable.then_some(now + UNREACHABLE_BACKOFF);
+        grantee.reported_at = now;
+        grantee.queried_at = None;
+        grantee.pending.retain(|grant| {
+            grant.sequence > hold.sequence && now.since(grant.sent_at) < GRANT_TIMEOUT
+        });
     }
 
-    /// Frees all that a dead or restarted entry held.
-    pub fn forget(&mut self, entry: Key) {
-        self.wishes.remove(&entry);
+    /// Removes the demands and held slots of a dead or restarted router.
+    pub fn forget(&mut self, router: Key) {
+        self.demands.remove(&router);
         for owned in self.owned.values_mut() {
-            owned.grantees.remove(&entry);
+            owned.grantees.remove(&router);
         }
     }
 
-    /// Whether an entry wants a slot that the target could give.
-    fn wanted(&self, table: &Table, target: Target) -> bool {
-        self.wishes
+    /// Whether any reported demand could use a slot of the target.
+    fn has_demand(&self, table: &Table, target: Target) -> bool {
+        self.demands
             .values()
-            .flat_map(|wishes| &wishes.rows)
-            .any(|wish| wish.count > 0 && table.serves(target, wish.lane.service, wish.lane.model))
+            .flat_map(|demands| &demands.rows)
+            .any(|demand| {
+                demand.count > 0 && table.serves(target, demand.lane.service, demand.lane.model)
+            })
     }
 }
 
-fn wish(table: &Table, ask: &Ask) -> Option<Wish> {
+/// Resolves the keys of a reported demand; `None` if one is not in the table.
+fn resolve(table: &Table, ask: &Ask) -> Option<Demand> {
     let service = table.service_by_key(ask.service)?;
     let model = match ask.model {
         Some(key) => Some(table.model_by_key(key)?),
         None => None,
     };
-    Some(Wish {
+    Some(Demand {
         lane: Lane { service, model },
         customer: table.customer_by_key(ask.customer)?,
         count: ask.count,
