--- a/crates/kernel/src/holder/want.rs
+++ b/crates/kernel/src/holder/demand.rs
@@ -1,8 +1,11 @@
-//! What is asked for: which lanes wait, and what owners were told of them.
+//! Demand: which lanes have requests waiting, and what was reported to owners.
 
 use std::time::Duration;
 
-use super::{Demand, Desk, FIRST_WIDTH, Holder, LATE, STALE, Told, UNANSWERED, WIDTH};
+use super::{
+    BUSY_WIDEN_FACTOR, DEMAND_TIMEOUT, Demand, Holder, INITIAL_OWNERS, Remainder, Report, WIDTH,
+    WITHDRAW_DELAY,
+};
 use crate::key::Key;
 use crate::message::{Ask, Message, Want};
 use crate::queue::Lane;
@@ -11,32 +14,32 @@
 use crate::time::Instant;
 
 impl Holder {
-    /// How many owners a lane may be told to now, judging by the time it has waited
-    /// without a request of it being sent. With slots in use here one will be free
-    /// soon; while all targets are busy, waiting for it costs nothing, and the lane
-    /// is told late.
+    /// Number of owners to which the demand of a lane may be reported now, by the time
+    /// that it has waited without a request being sent. A slot in use here will be free
+    /// soon; while all targets are busy (`full`), waiting for it costs nothing, so the
+    /// report is delayed.
     #[must_use]
     pub fn width(&self, now: Instant, lane: Lane, settings: &Settings, full: bool) -> usize {
         let Some(since) = self.waiting_since.get(&lane) else {
             return 0;
         };
         let busy = self.busy() > 0;
-        let patient = busy && full;
-        let step = if patient {
-            settings.widen * LATE
+        let delayed = busy && full;
+        let step = if delayed {
+            settings.widen * BUSY_WIDEN_FACTOR
         } else {
             settings.widen
         };
         let micros = step.as_micros().max(1);
         let steps = (now.since(*since).as_micros() / micros).min(8);
-        if steps == 0 && patient {
+        if steps == 0 && delayed {
             return 0;
         }
         let shift = u32::try_from(steps).unwrap_or(8);
-        (FIRST_WIDTH << shift).min(WIDTH)
+        (INITIAL_OWNERS << shift).min(WIDTH)
     }
 
-    /// Notes which lanes have work waiting.
+    /// Records which lanes have requests waiting.
     pub fn note_waiting(&mut self, now: Instant, lanes: &[Lane]) {
         self.waiting_since.retain(|lane, _| lanes.contains(lane));
         for lane in lanes {
@@ -44,19 +47,20 @@
         }
     }
 
-    /// Notes that a request of a lane was sent.
+    /// Records that a request of a lane was sent.
     pub fn note_sent(&mut self, now: Instant, lane: Lane) {
         if let Some(since) = self.waiting_since.get_mut(&lane) {
             *since = now;
         }
     }
 
+    /// Slots in use, of all targets.
     fn busy(&self) -> u32 {
         self.holdings.values().map(|holding| holding.busy).sum()
     }
 
-    /// Tells one owner what is wanted of it, when that differs enough and the last
-    /// want is older than the pause.
+    /// Reports demand to one owner if it differs enough from the last report and that
+    /// is older than `pause`.
     pub fn tell(
         &mut self,
         now: Instant,
@@ -66,70 +70,75 @@
         demands: &[Demand],
         outbox: &mut Vec<(Key, Message)>,
     ) {
-        if demands.is_empty() && !self.desks.contains_key(&owner) {
+        if demands.is_empty() && !self.reports.contains_key(&owner) {
             return;
         }
-        let desk = self.desks.entry(owner).or_default();
-        let early = desk.at.is_some_and(|at| now.since(at) < pause);
-        if early || !differs(now, desk, demands) {
+        let report = self.reports.entry(owner).or_default();
+        let early = report.sent_at.is_some_and(|at| now.since(at) < pause);
+        if early || !is_outdated(now, report, demands) {
             return;
         }
         self.stamp += 1;
         self.moved.wants += 1;
-        desk.stamp = self.stamp;
-        desk.at = Some(now);
-        desk.proved = Some(now);
-        desk.told = demands
+        report.stamp = self.stamp;
+        report.sent_at = Some(now);
+        report.active_at = Some(now);
+        report.rows = demands
             .iter()
             .map(|demand| {
-                let told = Told {
+                let remainder = Remainder {
                     count: demand.count,
                 };
-                ((demand.lane, demand.customer), told)
+                ((demand.lane, demand.customer), remainder)
             })
             .collect();
         let want = Want {
-            stamp: desk.stamp,
+            stamp: report.stamp,
             asks: demands.iter().map(|demand| ask(table, demand)).collect(),
         };
         outbox.push((owner, Message::Want(want)));
     }
 
-    /// Owners that were told that something is wanted.
+    /// Owners to which demand was reported.
     #[must_use]
     pub fn told(&self) -> Vec<Key> {
-        self.desks
+        self.reports
             .iter()
-            .filter(|(_, desk)| !desk.told.is_empty())
+            .filter(|(_, report)| !report.rows.is_empty())
             .map(|(owner, _)| *owner)
             .collect()
     }
 }
 
-/// Whether what is wanted differs much from what was told: something new, or a
-/// backlog four times as large or as small. What is no longer wanted is told after
-/// a while; until then a grant for it comes back unused. What gets no grant for a
-/// while is told again.
-fn differs(now: Instant, desk: &Desk, demands: &[Demand]) -> bool {
-    let stale = desk.at.is_some_and(|at| now.since(at) >= STALE);
-    let gone = desk
-        .told
+/// Whether demand must be reported again: there is demand that was not reported or
+/// has been granted in full, a backlog is four times as large or as small as the
+/// remainder of the report, or no grant has come for [`DEMAND_TIMEOUT`]. Demand that
+/// has ended is withdrawn after [`WITHDRAW_DELAY`]; until then a slot granted for it
+/// is returned unused.
+fn is_outdated(now: Instant, report: &Report, demands: &[Demand]) -> bool {
+    let old = report
+        .sent_at
+        .is_some_and(|at| now.since(at) >= WITHDRAW_DELAY);
+    let ended = report
+        .rows
         .iter()
-        .filter(|(_, told)| told.count > 0)
-        .any(|(place, _)| {
+        .filter(|(_, remainder)| remainder.count > 0)
+        .any(|(key, _)| {
             !demands
                 .iter()
-                .any(|demand| (demand.lane, demand.customer) == *place)
+                .any(|demand| (demand.lane, demand.customer) == *key)
         });
-    let unanswered = desk.proved.is_some_and(|at| now.since(at) >= UNANSWERED);
-    (gone && stale)
+    let unanswered = report
+        .active_at
+        .is_some_and(|at| now.since(at) >= DEMAND_TIMEOUT);
+    (ended && old)
         || (unanswered && !demands.is_empty())
         || demands.iter().any(|demand| {
-            let told = desk
-                .told
+            let left = report
+                .rows
                 .get(&(demand.lane, demand.customer))
-                .map_or(0, |told| told.count);
-            told == 0 || demand.count >= told.saturating_mul(4) || demand.count * 4 <= told
+                .map_or(0, |remainder| remainder.count);
+            left == 0 || demand.count >= left.saturating_mul(4) || demand.count * 4 <= left
         })
 }
 
--- a/crates/kernel/src/holder/mod.rs
+++ b/crates/kernel/src/holder/mod.rs
@@ -1,18 +1,19 @@
-//! Using slots that owners have granted.
+//! Use of the slots that owners have granted to this router.
 //!
-//! A holder keeps a slot when the request on it ends, and uses it for the next
-//! request without asking, as long as that is fair: the request's customer is at
-//! most a window ahead of the pool's frontier, or nobody else waits. Otherwise the
-//! slot goes back. Control traffic is thus spent on moving slots, not on requests.
-//! A slot granted for a customer may be used for that customer in any case, so
-//! that a grant is never sent back at once.
+//! A holder keeps a slot when the request on it ends and reuses it for the next
+//! request without asking the owner, as long as that is fair: the request's customer
+//! is at most one window ahead of the pool's frontier, or no other customer waits.
+//! Otherwise the slot is returned. Control traffic is thus proportional to the slots
+//! that move, not to the requests. A slot granted for a customer may be used for that
+//! customer in any case, so that a grant is never returned at once.
 //!
-//! What a router wants is told to a few owners first and to twice as many after
-//! every [`Settings::widen`] in which work has waited, near ones and those
-//! reported to have free slots first. A want is told again only when it differs
-//! much from what was told.
+//! Demand is reported to one owner first and to twice as many after every
+//! [`Settings::widen`] in which requests have waited, up to [`WIDTH`]. Owners of
+//! targets with free slots come first, then those of targets in this router's failure
+//! domain. Demand is reported again when it differs much from the last report or is
+//! not granted.
 
-mod want;
+mod demand;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -26,41 +27,44 @@
 use crate::table::Table;
 use crate::time::Instant;
 
-/// Owners asked at most for one lane.
+/// Most owners to which the demand of one lane is reported.
 pub const WIDTH: usize = 12;
 
-/// Owners asked first.
-const FIRST_WIDTH: usize = 1;
+/// Owners to which new demand of a lane is reported first.
+const INITIAL_OWNERS: usize = 1;
 
-/// How much later a lane is told when all targets are busy, some with its requests.
-const LATE: u32 = 10;
+/// Factor on [`Settings::widen`] while all targets are busy and some of this router's
+/// slots are in use.
+const BUSY_WIDEN_FACTOR: u32 = 10;
 
-/// Time without a grant after which a want is told again: it may have been lost, or
-/// its owner may have taken us for dead and forgotten it.
-const UNANSWERED: Duration = Duration::from_secs(3);
+/// Time without a grant after which demand is reported again: the report may have
+/// been lost, or its owner may have suspected this router and removed its demand.
+const DEMAND_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Age after which a want that has ended is taken back.
-const STALE: Duration = Duration::from_secs(10);
+/// Age of a report after which demand in it that has ended is withdrawn.
+const WITHDRAW_DELAY: Duration = Duration::from_secs(10);
 
 /// Slots held of one target.
 #[derive(Clone, Debug)]
 pub struct Holding {
-    /// The owner that gave them.
+    /// The owner that granted them.
     pub owner: Key,
     /// Slots held.
     pub held: u32,
     /// Slots in use.
     pub busy: u32,
-    /// Since when some slot is unused.
+    /// Time of the last grant or end of a request.
     pub idle_since: Instant,
     sequence: u64,
     stamp: u64,
-    stated_at: Instant,
+    /// Time of the last report to the owner.
+    reported_at: Instant,
     recalled: bool,
     /// Whether requests sent to the target fail.
     unusable: bool,
-    /// Slots to give back as soon as they are free.
+    /// Slots to return as soon as they are free.
     excess: u32,
+    /// Granted slots not used yet, by the customer that they were granted for.
     permits: BTreeMap<Customer, u32>,
 }
 
@@ -71,41 +75,41 @@
         self.held.saturating_sub(self.busy)
     }
 
-    /// Whether a slot was granted for a customer and not used yet.
+    /// Whether a slot was granted for a customer and has not been used yet.
     #[must_use]
     pub fn permits(&self, customer: Customer) -> bool {
         self.permits.get(&customer).is_some_and(|count| *count > 0)
     }
 
-    /// Takes off free slots that the owner has given out twice; true when there were.
-    fn give_excess(&mut self) -> bool {
-        let given = self.excess.min(self.free());
-        self.excess -= given;
-        self.held -= given;
-        given > 0
+    /// Removes free slots that the owner has recalled as excess; true if there were any.
+    fn drop_excess(&mut self) -> bool {
+        let returned = self.excess.min(self.free());
+        self.excess -= returned;
+        self.held -= returned;
+        returned > 0
     }
 
-    /// Whether the owner asked for unused slots back.
+    /// Whether the owner has recalled unused slots.
     #[must_use]
     pub const fn recalled(&self) -> bool {
         self.recalled
     }
 }
 
-/// One thing told to an owner.
+/// Reported demand of one customer in one lane, less the slots granted since.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Told {
+struct Remainder {
     count: u32,
 }
 
-/// What was told to one owner.
+/// Demand last reported to one owner.
 #[derive(Clone, Debug, Default)]
-struct Desk {
+struct Report {
     stamp: u64,
-    told: BTreeMap<(Lane, Customer), Told>,
-    at: Option<Instant>,
-    /// When it was last told, or last granted something.
-    proved: Option<Instant>,
+    rows: BTreeMap<(Lane, Customer), Remainder>,
+    sent_at: Option<Instant>,
+    /// Time of the last report or grant.
+    active_at: Option<Instant>,
 }
 
 /// Waiting requests of one customer in one lane.
@@ -117,43 +121,43 @@
     pub customer: Customer,
     /// Requests waiting.
     pub count: u32,
-    /// Estimated cost of one, in units.
+    /// Estimated cost of one request, in units.
     pub cost: u64,
 }
 
-/// Counts of slots that moved.
+/// Counts of slots and reports exchanged with owners.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Moved {
     /// Slots granted to this router.
     pub granted: u64,
-    /// Slots given back.
+    /// Slots returned to owners.
     pub returned: u64,
-    /// Slots given back that were never used since they were granted.
+    /// Slots returned that were not used since they were granted.
     pub unused: u64,
-    /// Wants told.
+    /// Demand reports sent.
     pub wants: u64,
 }
 
-/// All slots held, and what was asked for.
+/// Slots held of all targets, and the demand reported to owners.
 #[derive(Debug, Default)]
 pub struct Holder {
-    /// Counts of slots that moved.
+    /// Counts of slots and reports exchanged with owners.
     pub moved: Moved,
     holdings: BTreeMap<Target, Holding>,
-    desks: BTreeMap<Key, Desk>,
+    reports: BTreeMap<Key, Report>,
     waiting_since: BTreeMap<Lane, Instant>,
-    /// Stamps never repeat, even when an owner comes back.
+    /// Last stamp used. Stamps are never reused, even when an owner returns.
     stamp: u64,
 }
 
 impl Holder {
-    /// A holder of nothing.
+    /// A holder without slots.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// What is held of a target.
+    /// Slots held of a target.
     #[must_use]
     pub fn get(&self, target: Target) -> Option<&Holding> {
         self.holdings.get(&target)
@@ -164,13 +168,14 @@
         self.holdings.iter().map(|(target, row)| (*target, row))
     }
 
-    /// Sets a fixed holding, for the baselines without owners.
+    /// Sets a fixed number of held slots, for the baselines without owners.
     pub fn fix(&mut self, now: Instant, target: Target, owner: Key, held: u32) {
         let holding = self.holding(now, target, owner);
         holding.held = held;
     }
 
-    /// Takes a grant; a doubled or overtaken one is dropped, which is false.
+    /// Applies a grant; false if it is duplicated, outdated or not from the current
+    /// owner.
     pub fn grant(
         &mut self,
         now: Instant,
@@ -195,26 +200,26 @@
             }
         }
         self.moved.granted += granted;
-        self.note_granted(now, table, owner, grant);
+        self.deduct_granted(now, table, owner, grant);
         true
     }
 
-    /// The owner has taken its grants off what we told it; so do we.
-    fn note_granted(&mut self, now: Instant, table: &Table, owner: Key, grant: &Grant) {
-        let Some(desk) = self.desks.get_mut(&owner) else {
+    /// Deducts granted slots from the reported demand, as the owner has done.
+    fn deduct_granted(&mut self, now: Instant, table: &Table, owner: Key, grant: &Grant) {
+        let Some(report) = self.reports.get_mut(&owner) else {
             return;
         };
-        desk.proved = Some(now);
+        report.active_at = Some(now);
         for part in &grant.parts {
             let Some(customer) = table.customer_by_key(part.customer) else {
                 continue;
             };
             let mut left = part.count;
-            for ((_, other), told) in &mut desk.told {
+            for ((_, other), remainder) in &mut report.rows {
                 if *other == customer {
-                    let taken = told.count.min(left);
-                    told.count -= taken;
-                    left -= taken;
+                    let deducted = remainder.count.min(left);
+                    remainder.count -= deducted;
+                    left -= deducted;
                 }
             }
         }
@@ -233,7 +238,7 @@
         }
     }
 
-    /// Ends the use of a slot.
+    /// Ends the use of a slot, and returns it if the owner has recalled it as excess.
     pub fn vacate(
         &mut self,
         now: Instant,
@@ -246,12 +251,13 @@
         };
         holding.busy = holding.busy.saturating_sub(1);
         holding.idle_since = now;
-        if holding.give_excess() {
-            self.state(now, table, target, outbox);
+        if holding.drop_excess() {
+            self.report(now, table, target, outbox);
         }
     }
 
-    /// The owner asks for slots back, and to be told what is held.
+    /// Applies an owner's recall; reports the held slots unless that was done within
+    /// [`GRANT_TIMEOUT`].
     pub fn recall(
         &mut self,
         now: Instant,
@@ -270,26 +276,26 @@
         }
         holding.recalled = true;
         holding.excess = recall.count.min(holding.held);
-        let given = holding.give_excess();
-        if given || unknown || now.since(holding.stated_at) >= GRANT_TIMEOUT {
-            self.state(now, table, target, outbox);
+        let returned = holding.drop_excess();
+        if returned || unknown || now.since(holding.reported_at) >= GRANT_TIMEOUT {
+            self.report(now, table, target, outbox);
         }
     }
 
-    /// A stamp greater than all before.
+    /// A stamp greater than all before it.
     pub fn next_stamp(&mut self) -> u64 {
         self.stamp += 1;
         self.stamp
     }
 
-    /// Notes whether requests sent to a target fail; told with the next statement.
+    /// Records whether requests sent to a target fail, for the next report.
     pub fn mark(&mut self, target: Target, unusable: bool) {
         if let Some(holding) = self.holdings.get_mut(&target) {
             holding.unusable = unusable;
         }
     }
 
-    /// Gives all unused slots of a target back.
+    /// Returns all unused slots of a target to its owner.
     pub fn release(
         &mut self,
         now: Instant,
@@ -309,11 +315,11 @@
         self.moved.unused += u64::from(unused.min(holding.free()));
         holding.held = holding.busy;
         holding.permits.clear();
-        self.state(now, table, target, outbox);
+        self.report(now, table, target, outbox);
     }
 
-    /// Tells the owner of a target what is held.
-    pub fn state(
+    /// Reports the held slots of a target to its owner.
+    pub fn report(
         &mut self,
         now: Instant,
         table: &Table,
@@ -326,7 +332,7 @@
             return;
         };
         holding.stamp = stamp;
-        holding.stated_at = now;
+        holding.reported_at = now;
         let hold = Hold {
             target: table.targets[target.row()].key,
             stamp,
@@ -337,7 +343,7 @@
         outbox.push((holding.owner, Message::Hold(hold)));
     }
 
-    /// Repeats what was stated longer ago than the settings say.
+    /// Repeats reports of held slots that are older than [`Settings::restate`].
     pub fn restate(
         &mut self,
         now: Instant,
@@ -348,15 +354,15 @@
         let due: Vec<Target> = self
             .holdings
             .iter()
-            .filter(|(_, holding)| now.since(holding.stated_at) >= settings.restate)
+            .filter(|(_, holding)| now.since(holding.reported_at) >= settings.restate)
             .map(|(target, _)| *target)
             .collect();
         for target in due {
-            self.state(now, table, target, outbox);
+            self.report(now, table, target, outbox);
         }
     }
 
-    /// Follows a target to its new owner and tells it what is held.
+    /// Sets the new owner of a target and reports the held slots to it.
     pub fn move_owner(
         &mut self,
         now: Instant,
@@ -375,10 +381,11 @@
         holding.sequence = 0;
         holding.recalled = false;
         holding.excess = 0;
-        self.state(now, table, target, outbox);
+        self.report(now, table, target, outbox);
     }
 
-    /// An owner has restarted: it knows nothing of what we hold or want.
+    /// Repeats the reports of held slots to an owner that has restarted and lost them,
+    /// and discards the record of reported demand so that it is reported again.
     pub fn owner_restarted(
         &mut self,
         now: Instant,
@@ -386,7 +393,7 @@
         owner: Key,
         outbox: &mut Vec<(Key, Message)>,
     ) {
-        self.desks.remove(&owner);
+        self.reports.remove(&owner);
         let targets: Vec<Target> = self
             .holdings
             .iter()
@@ -397,7 +404,7 @@
             if let Some(holding) = self.holdings.get_mut(&target) {
                 holding.sequence = 0;
             }
-            self.state(now, table, target, outbox);
+            self.report(now, table, target, outbox);
         }
     }
 
@@ -409,7 +416,7 @@
             idle_since: now,
             sequence: 0,
             stamp: 0,
-            stated_at: now,
+            reported_at: now,
             recalled: false,
             unusable: false,
             excess: 0,
