--- a/crates/kernel/src/member.rs
+++ b/crates/kernel/src/member.rs
@@ -1,11 +1,12 @@
-//! Which instances are alive.
+//! Membership: which instances are live.
 //!
-//! Two sources, each wrong at times: the platform's list lags, and silence may be
-//! a cut instead of a death. An instance counts as alive when it is listed or was
-//! heard, is not leaving, and is not suspected. Suspicion comes from the account
-//! rounds (several answers in a row missing) or a lost link, and ends as soon as
-//! the instance is heard again. An instance that is neither listed nor heard for
-//! [`FORGET`] is dropped.
+//! There are two sources, and neither is reliable alone: the platform's list lags,
+//! and missing messages may be due to a network partition instead of a crash. An
+//! instance counts as live when it is listed or a message from it has been received,
+//! it is not leaving, and it is not suspected. Suspicion comes from the account
+//! rounds: an instance misses several consecutive rounds, or a root is silent for too
+//! long. It is cleared by the messages of later rounds or by a restart of the instance.
+//! An instance that is not listed and has sent no message for [`RETENTION`] is removed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,10 +15,10 @@
 use crate::key::Key;
 use crate::time::Instant;
 
-/// How long an unlisted instance is remembered after it was last heard.
-pub const FORGET: Duration = Duration::from_mins(1);
+/// Time after its last message for which an unlisted instance is kept.
+pub const RETENTION: Duration = Duration::from_mins(1);
 
-/// An instance of the platform's list.
+/// An instance in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listed {
     /// Its name.
@@ -28,56 +29,56 @@
     pub leaving: bool,
 }
 
-/// What is known of an instance.
+/// State of an instance.
 #[derive(Clone, Debug)]
 pub struct Member {
     /// Its failure domain, as a key.
     pub domain: Key,
-    /// Its incarnation, once heard.
+    /// Its last known incarnation; 0 until a message is received.
     pub incarnation: u64,
     /// Whether the platform lists it.
     pub listed: bool,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// When it was last heard.
+    /// Time of the last message received from it.
     pub heard: Option<Instant>,
-    /// Since when it is suspected to be dead or cut off.
+    /// Time since which it is suspected to be dead or unreachable.
     pub suspected: Option<Instant>,
 }
 
 impl Member {
-    /// Whether the instance may be given duties.
+    /// Whether the instance counts as live.
     #[must_use]
     pub const fn live(&self) -> bool {
         self.reachable() && !self.leaving
     }
 
-    /// Whether the instance is there, leaving or not.
+    /// Whether the instance is known and not suspected, leaving or not.
     #[must_use]
     pub const fn reachable(&self) -> bool {
         (self.listed || self.heard.is_some()) && self.suspected.is_none()
     }
 }
 
-/// What hearing from an instance changed.
+/// Effect of a received message on the sender's membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Heard {
-    /// Nothing: it was known and alive.
+    /// None: the sender was live already.
     Same,
-    /// It was not counted as alive before.
+    /// The sender did not count as live before.
     Back,
-    /// It has restarted: what it held before is void.
+    /// The sender has restarted: slots that it held before are void.
     Restarted,
-    /// The message is from a run of it that has ended; drop it.
+    /// The message is from an earlier incarnation and must be ignored.
     Stale,
 }
 
-/// The instances, as this router sees them. Ordered by key, so that iteration is
-/// the same everywhere.
+/// Instances known to this router, ordered by key, so that the iteration order is the
+/// same at all routers.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     members: BTreeMap<Key, Member>,
-    /// Rises with every change of who is alive.
+    /// Incremented with every change of the set of live instances.
     pub version: u64,
 }
 
@@ -88,7 +89,7 @@
         Self::default()
     }
 
-    /// Takes the platform's list: what it names is listed, all else is not.
+    /// Applies the platform's list; instances that it lacks become unlisted.
     pub fn list(&mut self, listed: &[Listed]) {
         let before = self.live_set();
         for member in self.members.values_mut() {
@@ -99,10 +100,10 @@
             member.listed = true;
             member.leaving = entry.leaving;
         }
-        self.bump_unless(&before);
+        self.update_version(&before);
     }
 
-    /// Notes that an instance was heard.
+    /// Records a message received from an instance.
     pub fn hear(&mut self, now: Instant, from: Key, domain: Key, incarnation: u64) -> Heard {
         let member = self.entry(from, domain);
         if incarnation < member.incarnation {
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Notes that an instance is suspected; true when it counted as alive.
+    /// Marks an instance as suspected; true if it was live.
     pub fn suspect(&mut self, now: Instant, key: Key) -> bool {
         let Some(member) = self.members.get_mut(&key) else {
             return false;
@@ -140,7 +141,7 @@
         was_live
     }
 
-    /// Ends a suspicion.
+    /// Clears the suspicion of an instance.
     pub fn clear(&mut self, key: Key) {
         let Some(member) = self.members.get_mut(&key) else {
             return;
@@ -152,14 +153,14 @@
         }
     }
 
-    /// Instances that are suspected.
+    /// Suspected instances.
     pub fn suspects(&self) -> impl Iterator<Item = Key> {
         self.all()
             .filter(|(_, member)| member.suspected.is_some())
             .map(|(key, _)| key)
     }
 
-    /// Notes that an instance says it is leaving.
+    /// Marks an instance as leaving.
     pub fn leave(&mut self, key: Key) {
         if let Some(member) = self.members.get_mut(&key)
             && !member.leaving
@@ -169,22 +170,22 @@
         }
     }
 
-    /// Drops instances that are neither listed nor heard for [`FORGET`].
+    /// Removes unlisted instances that have sent no message for [`RETENTION`].
     pub fn prune(&mut self, now: Instant) {
         let before = self.live_set();
         self.members.retain(|_, member| {
-            member.listed || member.heard.is_some_and(|at| now.since(at) < FORGET)
+            member.listed || member.heard.is_some_and(|at| now.since(at) < RETENTION)
         });
-        self.bump_unless(&before);
+        self.update_version(&before);
     }
 
-    /// What is known of an instance.
+    /// State of an instance.
     #[must_use]
     pub fn get(&self, key: Key) -> Option<&Member> {
         self.members.get(&key)
     }
 
-    /// Whether an instance counts as alive.
+    /// Whether an instance is live.
     #[must_use]
     pub fn is_live(&self, key: Key) -> bool {
         self.members.get(&key).is_some_and(Member::live)
@@ -198,7 +199,7 @@
             .is_some_and(|member| member.suspected.is_some())
     }
 
-    /// Every instance known.
+    /// All known instances.
     pub fn all(&self) -> impl Iterator<Item = (Key, &Member)> {
         self.members.iter().map(|(key, member)| (*key, member))
     }
@@ -239,7 +240,8 @@
         self.live().collect()
     }
 
-    fn bump_unless(&mut self, before: &[Key]) {
+    /// Increments the version if the set of live instances differs from `before`.
+    fn update_version(&mut self, before: &[Key]) {
         if self.live_set() != before {
             self.version += 1;
         }
