--- a/crates/kernel/src/message.rs
+++ b/crates/kernel/src/message.rs
@@ -1,19 +1,19 @@
-//! What routers say to each other.
+//! Messages between routers.
 //!
-//! Small, plain data, encoded by `bincode`. Entities travel as [`Key`]s. Every
-//! message is safe to lose, to double and to overtake: state is stated whole
-//! with a rising stamp, and grants carry a sequence number.
+//! Messages are small, encoded by `bincode`, and refer to entities by [`Key`]. The
+//! protocol tolerates lost, duplicated and reordered messages: state is sent in full
+//! with an increasing stamp, and grants carry a sequence number.
 
 use bincode::{Decode, Encode};
 
 use crate::key::Key;
 
-/// One run of the accounts of a failure domain: its root's counters.
+/// A run of a failure domain's accounts: the counters of one incarnation of its root.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Run {
-    /// The root that counts.
+    /// The root that keeps the counters.
     pub root: Key,
-    /// Its incarnation.
+    /// The incarnation of the root.
     pub incarnation: u64,
 }
 
@@ -22,16 +22,16 @@
 pub struct Round {
     /// The run.
     pub run: Run,
-    /// Its number, from 1.
+    /// The number of the round, from 1.
     pub number: u64,
 }
 
-/// Service of one customer in one pool.
+/// Service received by one customer in one pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Charge {
     /// The customer.
     pub customer: Key,
-    /// Units: an amount to add, or a total, as the message says.
+    /// Units: an increment in [`Up`], a total in [`Down`] and [`Total`].
     pub units: i64,
     /// Routers at which the customer has requests waiting.
     pub waiting: u32,
@@ -46,143 +46,143 @@
     pub charges: Vec<Charge>,
 }
 
-/// From a parent: the state of the accounts at the start of a round.
+/// From a parent: the accounts at the start of a round.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Down {
     /// The round that starts.
     pub round: Round,
     /// The instances from the root to the sender.
     pub path: Vec<Key>,
-    /// Instances whose answers did not count, for each of the last rounds, the latest
+    /// Instances whose answers were not counted, for each of the last rounds, latest
     /// first.
     pub missed: Vec<Vec<Key>>,
     /// Instances that the root suspects.
     pub suspects: Vec<Key>,
-    /// The accepted configuration's revision at the root.
+    /// Revision of the accepted configuration at the root.
     pub revision: u64,
-    /// Fleet totals: those of waiting customers, others in rotation.
+    /// Fleet totals of waiting customers, and of the others in rotation.
     pub totals: Vec<Ledger>,
     /// Targets with free slots.
     pub spare: Vec<Key>,
 }
 
-/// To a parent: what a subtree has to add in a round.
+/// To a parent: the increments of a subtree in a round.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Up {
-    /// The round that is answered.
+    /// The round answered.
     pub round: Round,
-    /// Instances below whose answer did not come.
+    /// Instances of the subtree whose answer is missing.
     pub missed: Vec<Key>,
-    /// Amounts to add.
+    /// Increments.
     pub charges: Vec<Ledger>,
-    /// Targets of owners below with free slots.
+    /// Targets with free slots that instances of the subtree own.
     pub spare: Vec<Key>,
 }
 
-/// Between roots, and to a root's deputy: totals counted by one run.
+/// Between roots, and to a root's deputy: the totals of one run.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Total {
-    /// The round after which the totals stood so.
+    /// The last round included in the totals.
     pub round: Round,
     /// The failure domain of the run.
     pub domain: Key,
-    /// The accepted configuration's revision at the root.
+    /// Revision of the accepted configuration at the root.
     pub revision: u64,
-    /// Totals of this run that changed, others in rotation.
+    /// Totals of this run that changed, and the others in rotation.
     pub totals: Vec<Ledger>,
-    /// Instances of its failure domain that the root suspects.
+    /// Instances of the failure domain that the root suspects.
     pub suspects: Vec<Key>,
-    /// Targets of its failure domain with free slots.
+    /// Targets of the failure domain with free slots.
     pub spare: Vec<Key>,
 }
 
-/// Waiting requests of one customer that an entry could run.
+/// Waiting requests of one customer for one service or model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Ask {
     /// The service.
     pub service: Key,
-    /// The model, for model services.
+    /// The model, for services that have models.
     pub model: Option<Key>,
     /// The customer.
     pub customer: Key,
     /// Requests waiting.
     pub count: u32,
-    /// Estimated cost of one, in units.
+    /// Estimated cost of one request, in units.
     pub cost: u64,
 }
 
-/// To an owner: all that an entry has waiting, replacing what it said before.
+/// To an owner: all requests waiting at the sender, replacing its last report.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Want {
-    /// Rises with every want of this entry to this owner.
+    /// Increases with every report of this sender.
     pub stamp: u64,
-    /// What waits.
+    /// Waiting requests by customer, service and model.
     pub asks: Vec<Ask>,
 }
 
-/// Slots for one customer.
+/// Slots granted for one customer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Part {
-    /// For whose requests.
+    /// The customer.
     pub customer: Key,
-    /// How many.
+    /// Number of slots.
     pub count: u32,
 }
 
-/// From an owner: slots of a target.
+/// From an owner: slots of a target granted to the receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Grant {
     /// The target.
     pub target: Key,
-    /// Rises with every grant of this owner.
+    /// Increases with every grant of this owner.
     pub sequence: u64,
-    /// The slots.
+    /// Slots by customer.
     pub parts: Vec<Part>,
 }
 
-/// To an owner: how many slots of a target an entry holds in all.
+/// To an owner: the total of slots of a target that the sender holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Hold {
     /// The target.
     pub target: Key,
-    /// Rises with every statement of this entry about this target.
+    /// Increases with every report of this sender.
     pub stamp: u64,
-    /// The last grant taken from this owner.
+    /// Sequence number of the last grant applied from this owner.
     pub sequence: u64,
     /// Slots held.
     pub count: u32,
-    /// Whether the entry cannot reach the target now, and wants no slot of it.
+    /// Whether the sender cannot reach the target now; no slots are granted then.
     pub unusable: bool,
 }
 
-/// From an owner: others wait, so give back what is unused.
+/// From an owner: asks for a report of the held slots and for the unused ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Recall {
     /// The target.
     pub target: Key,
-    /// Slots to give back as soon as they are free, even if work waits for them.
+    /// Slots to return as soon as they are free, even if requests wait for them.
     pub count: u32,
 }
 
-/// Anything one router says to another.
+/// A message from one router to another.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Message {
-    /// The start of a round.
+    /// Start of a round.
     Down(Down),
-    /// The answer to a round.
+    /// Answer to a round.
     Up(Up),
     /// Totals of a run.
     Total(Total),
-    /// The sender is root and had given the receiver up.
+    /// From a root to an instance that it suspects: asks whether it is still alive.
     Probe,
-    /// What waits.
+    /// Waiting requests.
     Want(Want),
-    /// Slots given.
+    /// Slots granted.
     Grant(Grant),
     /// Slots held.
     Hold(Hold),
-    /// Slots asked back.
+    /// Slots recalled.
     Recall(Recall),
-    /// The sender is leaving and takes no duties any more.
+    /// The sender is leaving and no longer counts as live.
     Leaving,
 }
