--- a/crates/kernel/src/settings.rs
+++ b/crates/kernel/src/settings.rs
@@ -1,19 +1,19 @@
-//! What one kernel is told at its start.
+//! Settings of a kernel.
 //!
-//! Everything here is fixed for the life of the process; what operators change
-//! while the fleet runs is in [`crate::table::Table`].
+//! They are fixed for the life of the process. Configuration that operators change
+//! at run time is in [`crate::table::Table`].
 
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How slots are given out.
+/// How slots are allocated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Each target's slots are granted by its owner, in fair order.
+    /// The owner of a target grants its slots, in fair order.
     Owner,
-    /// Each router has a fixed part of each target's slots: a baseline.
+    /// Baseline: each router uses a fixed part of each target's slots.
     Static,
-    /// Each router sends what it has at once, first come first served: a baseline.
+    /// Baseline: each router dispatches at once, first come first served, without limit.
     Naive,
 }
 
@@ -22,47 +22,47 @@
 pub struct Settings {
     /// Name of this instance.
     pub name: Arc<str>,
-    /// A number greater than that of every earlier run of this instance.
+    /// Number of this run of the instance, greater than that of every earlier run.
     pub incarnation: u64,
     /// Name of this instance's failure domain.
     pub domain: Arc<str>,
-    /// How slots are given out.
+    /// How slots are allocated.
     pub admission: Admission,
     /// Name of the placement plug-in.
     pub placement: Arc<str>,
-    /// Seed for ties and jitter.
+    /// Seed for tie-breaking and jitter.
     pub seed: u64,
-    /// Time between two rounds of accounts.
+    /// Interval between account rounds.
     pub round: Duration,
-    /// How long messages to one router are gathered before they are sent.
+    /// Time for which messages to one router are batched before they are sent.
     pub linger: Duration,
-    /// How long an unused slot is kept while nobody else asks for it.
+    /// Time for which an unused slot is held while no other customer waits for it.
     pub hold: Duration,
-    /// Time after which a want goes to more owners.
+    /// Interval after which waiting demand is reported to twice as many owners.
     pub widen: Duration,
-    /// Least time between two wants to one owner.
+    /// Minimum interval between two demand reports to one owner.
     pub retell: Duration,
-    /// How often a holder repeats what it holds, against lost messages.
+    /// Interval at which a holder repeats its report of held slots, in case one was lost.
     pub restate: Duration,
-    /// How long a new owner listens before it grants.
+    /// Time for which a new owner collects reports before it grants.
     pub takeover: Duration,
-    /// Rounds missed after which an instance counts as dead.
+    /// Consecutive missed rounds after which an instance is suspected.
     pub missed_rounds: u32,
-    /// How far a customer may run ahead of the pool's frontier before this router
-    /// gives its slot up, when utilisation comes first: as far as the frontier moves
+    /// Lead over the pool's frontier up to which a customer keeps its slots at this
+    /// router, when utilisation has priority over fairness: the advance of the frontier
     /// in this time.
     pub window: Duration,
-    /// Reservation of a running request, in thousandths of its estimated cost.
+    /// Units reserved for a running request, in thousandths of its estimated cost.
     pub reserve: u64,
-    /// The most that a customer may be owed against the furthest ahead, in units
+    /// Maximum lag of a customer behind the customer that is furthest ahead, in units
     /// per share.
     pub owed: u64,
-    /// Whether quick requests go before long ones of the same customer.
+    /// Whether quick requests precede long ones of the same customer.
     pub quick_first: bool,
 }
 
 impl Settings {
-    /// Settings for today's sizes.
+    /// Default settings of an instance.
     #[must_use]
     pub fn new(name: &str, domain: &str) -> Self {
         Self {
@@ -94,7 +94,7 @@
         self
     }
 
-    /// The same settings with another way of giving out slots.
+    /// The same settings with another slot allocation.
     #[must_use]
     pub fn with_admission(mut self, admission: Admission) -> Self {
         self.admission = admission;
@@ -108,7 +108,7 @@
         self
     }
 
-    /// The same settings with another time between rounds.
+    /// The same settings with another round interval.
     #[must_use]
     pub fn with_round(mut self, round: Duration) -> Self {
         self.round = round;
