--- a/crates/kernel/src/plugin.rs
+++ b/crates/kernel/src/plugin.rs
@@ -1,51 +1,51 @@
-//! What may vary, registered by other packages.
+//! Registry of plug-ins provided by other packages.
 //!
-//! A plug-in package submits a [`Placement`] entry with `inventory::submit!`;
-//! linking the package is all that is needed for the kernel to find it by name.
-//! Plug-ins are plain functions over plain data: they keep no state, so a kernel
-//! with the same events makes the same choice.
+//! A plug-in package submits a [`Placement`] with `inventory::submit!`; once the
+//! package is linked, the kernel finds the plug-in by name. Plug-ins are functions
+//! without state, so that a kernel makes the same choices for the same events.
 
 use crate::id::Target;
 
-/// What a placement may know of a target that could run a request.
+/// A target that can run a request, as a placement sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
     /// The target.
     pub target: Target,
-    /// Slots of it that this router holds unused, or believes free.
+    /// Unused slots that this router holds, or for [`crate::settings::Admission::Naive`]
+    /// those that it does not use.
     pub free: u32,
-    /// Slots it has in all.
+    /// Slots of the target.
     pub slots: u32,
-    /// Prefix blocks of the request believed to be cached there.
+    /// Prefix blocks of the request that are estimated to be cached at the target.
     pub cached: u32,
-    /// Whether it is in this router's failure domain.
+    /// Whether the target is in this router's failure domain.
     pub near: bool,
-    /// A number drawn for this request and target, for ties.
+    /// Pseudo-random number for this request and target, for tie-breaking.
     pub draw: u32,
 }
 
-/// A rule that chooses between targets that could all run a request now.
+/// A policy that chooses among targets that can all run a request now.
 #[derive(Clone, Copy, Debug)]
 pub struct Placement {
-    /// Its name in the settings.
+    /// Name of the policy in the settings.
     pub name: &'static str,
-    /// The worth of a candidate; the greatest is chosen.
+    /// Score of a candidate; the highest is chosen.
     pub worth: fn(&Candidate) -> i64,
 }
 
 inventory::collect!(Placement);
 
-/// The placement of a name, if a linked package registers it.
+/// The placement with a name, if a linked package registers it.
 #[must_use]
 pub fn placement(name: &str) -> Option<&'static Placement> {
-    inventory::iter::<Placement>().find(|entry| entry.name == name)
+    inventory::iter::<Placement>().find(|placement| placement.name == name)
 }
 
 /// Names of all registered placements, sorted.
 #[must_use]
 pub fn placements() -> Vec<&'static str> {
     let mut names: Vec<_> = inventory::iter::<Placement>()
-        .map(|entry| entry.name)
+        .map(|placement| placement.name)
         .collect();
     names.sort_unstable();
     names
