--- a/crates/kernel/src/rendezvous.rs
+++ b/crates/kernel/src/rendezvous.rs
@@ -1,8 +1,9 @@
-//! Who owns what, without anyone deciding it.
+//! Assignment of objects to instances without coordination.
 //!
-//! Highest random weight hashing (Thaler and Ravishankar, 1998): of the live
-//! instances, the one whose hash with the object's key is the greatest owns the
-//! object. When an instance dies only its objects move, spread over the others.
+//! Rendezvous hashing, also known as highest random weight hashing (Thaler and
+//! Ravishankar, 1998): an object is owned by the live instance whose hash with the
+//! object's key is the greatest. When an instance fails, only its objects move, and
+//! they are spread over the other instances.
 
 use xxhash_rust::xxh64::xxh64;
 
