--- a/crates/kernel/src/time.rs
+++ b/crates/kernel/src/time.rs
@@ -1,13 +1,13 @@
-//! Moments as the driver tells them.
+//! Time as supplied by the driver.
 //!
-//! The kernel has no clock. A driver passes an [`Instant`] with each event; it
-//! may come from a monotone clock or from a measurement's virtual time. Instants
-//! of one kernel never go backwards and are never compared across routers.
+//! The kernel has no clock. The driver passes an [`Instant`] with each event, from a
+//! monotonic clock or from virtual time. The instants passed to one kernel never
+//! decrease and are never compared with those of another router.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// A moment on the driver's clock, in microseconds since its start.
+/// A point in time on the driver's clock, in microseconds since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Instant(u64);
 
@@ -15,7 +15,7 @@
     /// The start of the driver's clock.
     pub const ZERO: Self = Self(0);
 
-    /// A moment `micros` microseconds after the start.
+    /// The instant `micros` microseconds after the start.
     #[must_use]
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
@@ -27,7 +27,7 @@
         self.0
     }
 
-    /// The time passed since `earlier`, or zero when that lies ahead.
+    /// The time elapsed since `earlier`, or zero if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
@@ -37,8 +37,8 @@
 impl Add<Duration> for Instant {
     type Output = Self;
 
-    fn add(self, span: Duration) -> Self {
-        let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
+    fn add(self, duration: Duration) -> Self {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_add(micros))
     }
 }
@@ -46,8 +46,8 @@
 impl Sub<Duration> for Instant {
     type Output = Self;
 
-    fn sub(self, span: Duration) -> Self {
-        let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
+    fn sub(self, duration: Duration) -> Self {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_sub(micros))
     }
 }
