--- a/crates/kernel/src/id.rs
+++ b/crates/kernel/src/id.rs
@@ -1,9 +1,9 @@
-//! Dense indices for everything the kernel keeps in tables.
+//! Dense indices of the entities that the kernel keeps in tables.
 //!
-//! Names appear only at the edge. Inside, an entity is an index into the tables
-//! of [`crate::table::Table`] or [`crate::member::View`]. An index, once given,
-//! names the same entity for the life of the kernel: a removed customer leaves a
-//! row without share, so that late events about it still find their place.
+//! Names are used only at the boundary of the kernel. Inside, an entity is an index
+//! into the rows of [`crate::table::Table`]. An index denotes the same entity for the
+//! life of the kernel: the row of a removed customer is kept without a share, so that
+//! late events about it can still be attributed.
 
 macro_rules! index {
     ($(#[$doc:meta])* $name:ident) => {
@@ -12,17 +12,17 @@
         pub struct $name(u32);
 
         impl $name {
-            /// The entity at a row of its table.
+            /// The index of a row.
             ///
             /// # Panics
             ///
-            /// When the row does not fit 32 bits, which no table reaches.
+            /// Panics if the row does not fit into 32 bits, which no table reaches.
             #[must_use]
             pub fn new(row: usize) -> Self {
                 Self(u32::try_from(row).expect("tables stay below 2^32 rows"))
             }
 
-            /// The row of the entity in its table.
+            /// The row in the table.
             #[must_use]
             pub const fn row(self) -> usize {
                 self.0 as usize
@@ -48,18 +48,19 @@
     Domain
 );
 index!(
-    /// A model named by some service or target.
+    /// A model named by a service or target.
     Model
 );
 index!(
-    /// Services that share targets, hence one competition for slots.
+    /// Services that compete for the slots of the same targets.
     Pool
 );
 index!(
-    /// A router instance seen by this kernel.
+    /// A router instance known to this kernel.
     Instance
 );
 
-/// A caller's request, numbered by the driver, never used twice by one kernel.
+/// A caller's request, numbered by the driver; numbers are never reused within one
+/// kernel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Request(pub u64);
