--- a/crates/kernel/src/key.rs
+++ b/crates/kernel/src/key.rs
@@ -1,15 +1,15 @@
-//! Names as they travel between routers.
+//! Names in messages between routers.
 //!
-//! Dense indices differ from router to router and from one configuration to the
-//! next, and full names would fill the control budget. A [`Key`] is the low 32
-//! bits of xxHash64 (seed 0) of a name: four bytes, the same everywhere. The
-//! configuration check refuses two names of one kind that share a key, so within
-//! an accepted configuration a key names one entity.
+//! Dense indices differ between routers and between configurations, and full names
+//! would exceed the control traffic budget. A [`Key`] is the low 32 bits of the
+//! xxHash64 (seed 0) of a name: four bytes, the same at all routers. Configurations in
+//! which two names of one kind have the same key are rejected, so that within an
+//! accepted configuration a key identifies one entity.
 
 use bincode::{Decode, Encode};
 use xxhash_rust::xxh64::xxh64;
 
-/// Four bytes that stand for a name between routers.
+/// Four-byte hash that identifies a name between routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Key([u8; 4]);
 
@@ -21,7 +21,7 @@
         Self([a, b, c, d])
     }
 
-    /// The key as a number, for hashing and logs.
+    /// The key as an integer, for hashing and logs.
     #[must_use]
     pub const fn number(self) -> u32 {
         u32::from_le_bytes(self.0)
