--- a/crates/kernel/src/event.rs
+++ b/crates/kernel/src/event.rs
@@ -1,8 +1,8 @@
-//! What reaches the kernel.
+//! Events: the input of the kernel.
 //!
-//! Everything that can be late, lost, doubled or crossed is an event here, so
-//! each failure is a line of a scenario. Events about requests or attempts that
-//! the kernel no longer knows are ignored and counted, never an error.
+//! Everything that can be delayed, lost, duplicated or reordered is an event, so that
+//! a scenario can express each failure. Events about requests or attempts that the
+//! kernel no longer knows are ignored and counted; they are not errors.
 
 use std::sync::Arc;
 
@@ -14,33 +14,33 @@
 use crate::time::Instant;
 use crate::verdict::{Failure, Verdict};
 
-/// How soon a caller expects its first byte.
+/// Latency class of a request: how soon its caller expects the first byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Class {
-    /// A quick question: its caller watches.
+    /// Interactive: the caller expects a quick answer.
     Quick,
-    /// Long work: its caller will wait.
+    /// Batch: the caller accepts a long wait.
     Long,
 }
 
-/// A request as it enters the queue.
+/// A new request.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     /// The driver's number for the request.
     pub request: Request,
-    /// Who is charged.
+    /// The customer that is charged.
     pub customer: Customer,
-    /// What is asked for.
+    /// The service requested.
     pub service: Service,
-    /// The model named, for model services.
+    /// The model requested, for services that have models.
     pub model: Option<Model>,
     /// The latency class.
     pub class: Class,
-    /// The caller's hint at the cost in units, if any: a prior, never trusted.
+    /// The caller's estimate of the cost in units, if any. Used only as a prior.
     pub hint: Option<u64>,
-    /// Whether a second run is harmless.
+    /// Whether the request may be run more than once.
     pub repeatable: bool,
-    /// When the caller gives up.
+    /// Time after which the caller no longer wants an answer.
     pub deadline: Option<Instant>,
     /// Chained hashes of the prompt's prefix blocks, longest prefix last.
     pub prefix: Vec<u32>,
@@ -49,7 +49,7 @@
 /// How an attempt at a target ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer was delivered; `units` of service were used in all.
+    /// The answer was delivered in full.
     Whole {
         /// Units of service used.
         units: u64,
@@ -67,24 +67,24 @@
     },
 }
 
-/// Something that happened, to be passed to the kernel with its time.
+/// An event, passed to the kernel with the time at which it happened.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed; sent at the latest when [`crate::kernel::Kernel::wake_at`] says.
+    /// Time has passed; due no later than [`crate::kernel::Kernel::wake_at`].
     Tick,
     /// A configuration was accepted.
     Configured(Arc<Table>),
-    /// The platform's instance list, as far as it is known.
+    /// The platform's current list of instances.
     Listed(Vec<Listed>),
     /// A caller's request arrived.
     Arrived(Arrival),
-    /// The caller went away.
+    /// The caller disconnected.
     Left(Request),
-    /// An attempt has used `units` of service so far.
+    /// An attempt has used service and continues.
     Progressed {
         /// The request.
         request: Request,
-        /// The attempt, as numbered in the dispatch.
+        /// The attempt, as numbered in [`crate::action::Action::Dispatch`].
         attempt: u32,
         /// Units of service used so far by this attempt.
         units: u64,
@@ -93,12 +93,12 @@
     Ended {
         /// The request.
         request: Request,
-        /// The attempt, as numbered in the dispatch.
+        /// The attempt, as numbered in [`crate::action::Action::Dispatch`].
         attempt: u32,
         /// How it ended.
         outcome: Outcome,
     },
-    /// Messages from another router, in the order of its link.
+    /// Messages from another router, in the order in which its link delivered them.
     Received {
         /// Key of the sender's name.
         from: Key,
@@ -106,11 +106,11 @@
         domain: Key,
         /// The sender's incarnation.
         incarnation: u64,
-        /// What it sent.
+        /// The messages.
         messages: Vec<Message>,
     },
     /// The link to another router is lost.
     LinkLost(Key),
-    /// Stop taking requests, finish what runs, hand over what is held.
+    /// Stop accepting requests, finish running ones and return the held slots.
     Drain,
 }
