--- a/crates/kernel/src/action.rs
+++ b/crates/kernel/src/action.rs
@@ -1,7 +1,7 @@
-//! What the kernel asks its driver to do.
+//! Actions: the output of the kernel.
 //!
-//! Actions are carried out in order. None of them needs an answer to be correct:
-//! what comes of it returns as an event, or not at all.
+//! The driver carries out actions in order. The kernel waits for no result: the
+//! outcome of an action arrives as an event, or not at all.
 
 use std::time::Duration;
 
@@ -10,14 +10,14 @@
 use crate::message::Message;
 use crate::verdict::{Failure, Refusal, Verdict};
 
-/// One thing to do.
+/// An action for the driver.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Send messages to another router in one frame; they may be lost.
+    /// Send messages to another router in one frame, without guarantee of delivery.
     Send {
         /// Key of the receiver's name.
         to: Key,
-        /// What to send.
+        /// The messages.
         messages: Vec<Message>,
     },
     /// Send the request to a target.
@@ -26,41 +26,41 @@
         request: Request,
         /// Number of the attempt, from 1.
         attempt: u32,
-        /// Where to.
+        /// The target.
         target: Target,
     },
-    /// Stop an attempt at its target; its late events will be ignored.
+    /// Cancel an attempt at its target; later events of it are ignored.
     Cancel {
         /// The request.
         request: Request,
         /// The attempt.
         attempt: u32,
     },
-    /// Give the caller its final answer: a refusal.
+    /// Answer the caller with a refusal.
     Refuse {
         /// The request.
         request: Request,
-        /// Why.
+        /// The reason.
         refusal: Refusal,
         /// The failure of the last attempt, if there was one.
         failure: Option<Failure>,
         /// Whether the request may have run.
         verdict: Verdict,
-        /// When a new try makes sense, if that can be told.
+        /// Time after which the caller may retry, if known.
         retry_after: Option<Duration>,
     },
-    /// The request is over; the driver may forget it.
+    /// The request is complete; the driver may release its state.
     Forget {
         /// The request.
         request: Request,
     },
-    /// A failed attempt will be tried again.
+    /// A failed attempt will be retried.
     Retry {
         /// The request.
         request: Request,
-        /// The failure that is being retried.
+        /// The failure of the attempt.
         failure: Failure,
     },
-    /// A drain is complete: nothing runs or waits here any more.
+    /// The drain is complete: no requests run or wait, and all charges are counted.
     Drained,
 }
