--- a/crates/policies/src/lib.rs
+++ b/crates/policies/src/lib.rs
@@ -1,11 +1,11 @@
-//! The policies a dunlinward kernel may run with.
+//! Policies for the dunlinward kernel.
 //!
-//! Each module registers its plug-ins with the kernel; linking this package, and
-//! calling [`link`] once so that the linker keeps it, makes them available by name.
+//! Each module registers its plug-ins with the kernel by name. A program that links
+//! this package must call [`link`] once, so that the linker does not discard it.
 
 pub mod placement;
 
-/// Keeps the plug-ins of this package in the program, and names them.
+/// Keeps the plug-ins of this package linked and returns the names of all placements.
 #[must_use]
 pub fn link() -> Vec<&'static str> {
     dunlinward_kernel::plugin::placements()
--- a/crates/policies/src/placement.rs
+++ b/crates/policies/src/placement.rs
@@ -1,32 +1,36 @@
-//! Which of the targets that could run a request now is taken.
+//! Placement policies: the choice among targets that can run a request now.
 //!
-//! All of them are fair choices: the fair order has been applied before a
-//! placement is asked, and each candidate has a free slot.
+//! A placement does not affect fairness: the fair order is applied before, and each
+//! candidate has a free slot.
 
 use dunlinward_kernel::plugin::{Candidate, Placement};
 
-/// Worth of one cached prefix block against one free slot in a thousand.
-const BLOCK_WORTH: i64 = 50;
+/// Score of one cached prefix block, in thousandths of the target's slots.
+const CACHED_BLOCK_SCORE: i64 = 50;
 
-/// Worth of being in the same failure domain, in thousandths of free slots.
-const NEAR_WORTH: i64 = 10;
+/// Score of a target in this router's failure domain, in thousandths of the target's
+/// slots.
+const SAME_DOMAIN_SCORE: i64 = 10;
 
+/// Uniformly random choice.
 fn random(candidate: &Candidate) -> i64 {
     i64::from(candidate.draw)
 }
 
-/// Free slots in thousandths of all, a bit for being near, ties by draw.
+/// Least loaded: the share of free slots in thousandths, plus [`SAME_DOMAIN_SCORE`]
+/// for the own failure domain; ties are broken by the pseudo-random draw.
 fn least(candidate: &Candidate) -> i64 {
     let slots = i64::from(candidate.slots.max(1));
     let free = i64::from(candidate.free.min(candidate.slots)) * 1_000 / slots;
-    let near = if candidate.near { NEAR_WORTH } else { 0 };
+    let near = if candidate.near { SAME_DOMAIN_SCORE } else { 0 };
     let tie = i64::from(candidate.draw >> 16);
     ((free + near) << 16) + tie
 }
 
-/// Cached blocks first, free slots as in [`least`] second.
+/// Cache affinity: [`CACHED_BLOCK_SCORE`] for each cached block, plus the score of
+/// [`least`].
 fn affinity(candidate: &Candidate) -> i64 {
-    least(candidate) + ((i64::from(candidate.cached) * BLOCK_WORTH) << 16)
+    least(candidate) + ((i64::from(candidate.cached) * CACHED_BLOCK_SCORE) << 16)
 }
 
 inventory::submit! { Placement { name: "random", worth: random } }
