--- a/crates/kernel/src/kernel/mod.rs
+++ b/crates/kernel/src/kernel/mod.rs
@@ -276,7 +276,7 @@
         for _ in 0..MOST_PASSES {
             self.use_slots(now, &table, actions);
             self.owner
-                .fill(now, &table, &mut self.book, &mut self.outbox);
+                .grant_slots(now, &table, &mut self.book, &mut self.outbox);
             self.tell_wants(now, &table);
             if !self.post(now) {
                 break;
--- a/crates/kernel/src/owner/grant.rs
+++ b/crates/kernel/src/owner/grant.rs
@@ -13,7 +13,7 @@
 
 impl Owner {
     /// Grants free slots of all owned targets in the fair order.
-    pub fn fill(
+    pub fn grant_slots(
         &mut self,
         now: Instant,
         table: &Table,
@@ -24,7 +24,7 @@
         for target in targets {
             self.query_overdue(now, table, target, outbox);
             self.reclaim_excess(now, table, target, outbox);
-            self.fill_target(now, table, book, target, outbox);
+            self.grant_target(now, table, book, target, outbox);
         }
     }
 
@@ -97,7 +97,7 @@
         }
     }
 
-    fn fill_target(
+    fn grant_target(
         &mut self,
         now: Instant,
         table: &Table,
