--- a/crates/kernel/src/kernel/link.rs
+++ b/crates/kernel/src/kernel/link.rs
@@ -73,7 +73,7 @@
             Message::Probe => {
                 self.with_rounds(now, &table, |rounds, scope| rounds.probed(from, scope));
             }
-            Message::Want(want) => self.owner.want(&table, from, &want),
+            Message::Want(want) => self.owner.record_demand(&table, from, &want),
             Message::Grant(grant) => self.take_grant(now, &table, from, &grant),
             Message::Hold(hold) => match table.target_by_key(hold.target) {
                 Some(target) => self.owner.hold(now, from, target, &hold),
--- a/crates/kernel/src/owner/mod.rs
+++ b/crates/kernel/src/owner/mod.rs
@@ -221,7 +221,7 @@
     }
 
     /// Records the demands that a router reports; outdated reports are ignored.
-    pub fn want(&mut self, table: &Table, from: Key, want: &Want) {
+    pub fn record_demand(&mut self, table: &Table, from: Key, want: &Want) {
         let demands = self.demands.entry(from).or_default();
         if want.stamp <= demands.stamp {
             return;
