--- a/crates/kernel/src/kernel/link.rs
+++ b/crates/kernel/src/kernel/link.rs
@@ -76,7 +76,7 @@
             Message::Want(want) => self.owner.record_demand(&table, from, &want),
             Message::Grant(grant) => self.take_grant(now, &table, from, &grant),
             Message::Hold(hold) => match table.target_by_key(hold.target) {
-                Some(target) => self.owner.hold(now, from, target, &hold),
+                Some(target) => self.owner.record_hold(now, from, target, &hold),
                 None => self.dropped.unknown_names += 1,
             },
             Message::Recall(recall) => {
--- a/crates/kernel/src/owner/mod.rs
+++ b/crates/kernel/src/owner/mod.rs
@@ -235,7 +235,7 @@
     }
 
     /// Records the slots that a router reports as held; outdated reports are ignored.
-    pub fn hold(&mut self, now: Instant, from: Key, target: Target, hold: &Hold) {
+    pub fn record_hold(&mut self, now: Instant, from: Key, target: Target, hold: &Hold) {
         let Some(owned) = self.owned.get_mut(&target) else {
             return;
         };
