--- a/crates/kernel/src/kernel/link.rs
+++ b/crates/kernel/src/kernel/link.rs
@@ -42,7 +42,7 @@
 
     /// What a router held ended with its run; what it owned it knows nothing of.
     fn forget_router(&mut self, now: Instant, router: Key) {
-        self.owner.forget(router);
+        self.owner.remove_router(router);
         if let Some(table) = self.table.clone() {
             self.holder
                 .owner_restarted(now, &table, router, &mut self.outbox);
--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -88,7 +88,7 @@
             .map(|(key, _)| key)
             .collect();
         for key in gone {
-            self.owner.forget(key);
+            self.owner.remove_router(key);
         }
     }
 
--- a/crates/kernel/src/owner/mod.rs
+++ b/crates/kernel/src/owner/mod.rs
@@ -254,7 +254,7 @@
     }
 
     /// Removes the demands and held slots of a dead or restarted router.
-    pub fn forget(&mut self, router: Key) {
+    pub fn remove_router(&mut self, router: Key) {
         self.demands.remove(&router);
         for owned in self.owned.values_mut() {
             owned.grantees.remove(&router);
