--- a/crates/kernel/src/kernel/mod.rs
+++ b/crates/kernel/src/kernel/mod.rs
@@ -167,7 +167,7 @@
                 .then(|| self.rounds.wake_at(&self.settings)),
             self.deadlines.first().map(|(at, _)| *at),
             self.backoffs.first().map(|(at, _)| *at),
-            self.owner.opens_after(self.sweep_at),
+            self.owner.next_grant_after(self.sweep_at),
             self.mail
                 .values()
                 .map(|mail| mail.since + self.settings.linger)
--- a/crates/kernel/src/owner/mod.rs
+++ b/crates/kernel/src/owner/mod.rs
@@ -193,7 +193,7 @@
 
     /// The next time at which slots may be granted without a further event.
     #[must_use]
-    pub fn opens_after(&self, now: Instant) -> Option<Instant> {
+    pub fn next_grant_after(&self, now: Instant) -> Option<Instant> {
         self.owned
             .values()
             .flat_map(|owned| {
