--- a/crates/kernel/src/kernel/link.rs
+++ b/crates/kernel/src/kernel/link.rs
@@ -125,7 +125,7 @@
             table,
             view: &mut self.view,
             book: &mut self.book,
-            spare: self.owner.spare(now, table),
+            spare: self.owner.spare_targets(now, table),
             outbox: &mut self.outbox,
         };
         work(&mut self.rounds, &mut scope);
--- a/crates/kernel/src/owner/mod.rs
+++ b/crates/kernel/src/owner/mod.rs
@@ -208,7 +208,7 @@
 
     /// Owned targets with free slots and no reported demand.
     #[must_use]
-    pub fn spare(&self, now: Instant, table: &Table) -> Vec<Key> {
+    pub fn spare_targets(&self, now: Instant, table: &Table) -> Vec<Key> {
         self.owned
             .iter()
             .filter(|(target, owned)| {
