--- a/crates/kernel/src/holder/mod.rs
+++ b/crates/kernel/src/holder/mod.rs
@@ -169,7 +169,7 @@
     }
 
     /// Sets a fixed number of held slots, for the baselines without owners.
-    pub fn fix(&mut self, now: Instant, target: Target, owner: Key, held: u32) {
+    pub fn set_fixed(&mut self, now: Instant, target: Target, owner: Key, held: u32) {
         let holding = self.holding(now, target, owner);
         holding.held = held;
     }
--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -102,14 +102,15 @@
             // The rest of the division goes to other routers for each target.
             let extra = usize::from((place + at) % count < slots % count);
             let part = u32::try_from(slots / count + extra).unwrap_or(0);
-            self.holder.fix(now, Target::new(at), self.me, part);
+            self.holder.set_fixed(now, Target::new(at), self.me, part);
         }
     }
 
     /// The naive baseline: every router uses every target as if it were alone.
     fn fix_all(&mut self, now: Instant, table: &Arc<Table>) {
         for at in 0..table.targets.len() {
-            self.holder.fix(now, Target::new(at), self.me, u32::MAX / 2);
+            self.holder
+                .set_fixed(now, Target::new(at), self.me, u32::MAX / 2);
         }
     }
 
