--- a/crates/kernel/src/holder/mod.rs
+++ b/crates/kernel/src/holder/mod.rs
@@ -289,7 +289,7 @@
     }
 
     /// Records whether requests sent to a target fail, for the next report.
-    pub fn mark(&mut self, target: Target, unusable: bool) {
+    pub fn set_unusable(&mut self, target: Target, unusable: bool) {
         if let Some(holding) = self.holdings.get_mut(&target) {
             holding.unusable = unusable;
         }
--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -270,7 +270,7 @@
             .collect();
         for target in idle {
             let unusable = self.health.ejected(now, target);
-            self.holder.mark(target, unusable);
+            self.holder.set_unusable(target, unusable);
             self.holder.release(now, table, target, &mut self.outbox);
         }
     }
