--- a/crates/kernel/src/holder/mod.rs
+++ b/crates/kernel/src/holder/mod.rs
@@ -344,7 +344,7 @@
     }
 
     /// Repeats reports of held slots that are older than [`Settings::restate`].
-    pub fn restate(
+    pub fn repeat_reports(
         &mut self,
         now: Instant,
         table: &Table,
--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -416,6 +416,6 @@
         }
         self.sweep_at = now + SWEEP;
         self.holder
-            .restate(now, table, &self.settings, &mut self.outbox);
+            .repeat_reports(now, table, &self.settings, &mut self.outbox);
     }
 }
