--- a/crates/kernel/src/holder/mod.rs
+++ b/crates/kernel/src/holder/mod.rs
@@ -363,7 +363,7 @@
     }
 
     /// Sets the new owner of a target and reports the held slots to it.
-    pub fn move_owner(
+    pub fn set_owner(
         &mut self,
         now: Instant,
         table: &Table,
--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -78,7 +78,7 @@
             }
             self.owners.insert(target, owner);
             self.holder
-                .move_owner(now, table, target, owner, &mut self.outbox);
+                .set_owner(now, table, target, owner, &mut self.outbox);
         }
         self.owner.assign(now + self.settings.takeover, &mine);
         let gone: Vec<Key> = self
