--- a/crates/kernel/src/holder/demand.rs
+++ b/crates/kernel/src/holder/demand.rs
@@ -40,7 +40,7 @@
     }
 
     /// Records which lanes have requests waiting.
-    pub fn note_waiting(&mut self, now: Instant, lanes: &[Lane]) {
+    pub fn record_waiting(&mut self, now: Instant, lanes: &[Lane]) {
         self.waiting_since.retain(|lane, _| lanes.contains(lane));
         for lane in lanes {
             self.waiting_since.entry(*lane).or_insert(now);
--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -282,7 +282,7 @@
         }
         self.tell_at = now + TELL;
         let lanes: Vec<Lane> = self.queue.lanes().map(|(lane, _)| lane).collect();
-        self.holder.note_waiting(now, &lanes);
+        self.holder.record_waiting(now, &lanes);
         let mut wanted: BTreeMap<Key, Vec<Demand>> = BTreeMap::new();
         let mut pause = self.settings.retell;
         for lane in lanes {
