--- a/crates/kernel/src/holder/demand.rs
+++ b/crates/kernel/src/holder/demand.rs
@@ -48,7 +48,7 @@
     }
 
     /// Records that a request of a lane was sent.
-    pub fn note_sent(&mut self, now: Instant, lane: Lane) {
+    pub fn record_dispatch(&mut self, now: Instant, lane: Lane) {
         if let Some(since) = self.waiting_since.get_mut(&lane) {
             *since = now;
         }
--- a/crates/kernel/src/kernel/entry.rs
+++ b/crates/kernel/src/kernel/entry.rs
@@ -130,7 +130,7 @@
         let pool = self.pool(service);
         self.book.charge(pool, customer, meter.admit());
         self.holder.occupy(target, customer);
-        self.holder.note_sent(now, lane(arrival));
+        self.holder.record_dispatch(now, lane(arrival));
         let sent = waiting.send(now, target, meter);
         actions.push(Action::Dispatch {
             request,
