--- a/crates/kernel/src/holder/demand.rs
+++ b/crates/kernel/src/holder/demand.rs
@@ -61,7 +61,7 @@
 
     /// Reports demand to one owner if it differs enough from the last report and that
     /// is older than `pause`.
-    pub fn tell(
+    pub fn report_demand(
         &mut self,
         now: Instant,
         table: &Table,
--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -304,7 +304,7 @@
         }
         for (owner, demands) in wanted {
             self.holder
-                .tell(now, table, pause, owner, &demands, &mut self.outbox);
+                .report_demand(now, table, pause, owner, &demands, &mut self.outbox);
         }
     }
 
