--- a/crates/kernel/src/holder/demand.rs
+++ b/crates/kernel/src/holder/demand.rs
@@ -101,7 +101,7 @@
 
     /// Owners to which demand was reported.
     #[must_use]
-    pub fn told(&self) -> Vec<Key> {
+    pub fn reported_owners(&self) -> Vec<Key> {
         self.reports
             .iter()
             .filter(|(_, report)| !report.rows.is_empty())
--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -299,7 +299,7 @@
                 }
             }
         }
-        for owner in self.holder.told() {
+        for owner in self.holder.reported_owners() {
             wanted.entry(owner).or_default();
         }
         for (owner, demands) in wanted {
