--- a/crates/kernel/src/holder/demand.rs
+++ b/crates/kernel/src/holder/demand.rs
@@ -19,7 +19,7 @@
     /// soon; while all targets are busy (`full`), waiting for it costs nothing, so the
     /// report is delayed.
     #[must_use]
-    pub fn width(&self, now: Instant, lane: Lane, settings: &Settings, full: bool) -> usize {
+    pub fn owner_count(&self, now: Instant, lane: Lane, settings: &Settings, full: bool) -> usize {
         let Some(since) = self.waiting_since.get(&lane) else {
             return 0;
         };
--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -291,7 +291,7 @@
             if !full {
                 pause = TELL;
             }
-            let width = self.holder.width(now, lane, &self.settings, full);
+            let width = self.holder.owner_count(now, lane, &self.settings, full);
             for demand in self.demands(lane) {
                 let width = self.breadth(table, &demand, width, full);
                 for owner in order.iter().take(width) {
