--- a/crates/kernel/src/holder/demand.rs
+++ b/crates/kernel/src/holder/demand.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use super::{
-    BUSY_WIDEN_FACTOR, DEMAND_TIMEOUT, Demand, Holder, INITIAL_OWNERS, Remainder, Report, WIDTH,
-    WITHDRAW_DELAY,
+    BUSY_WIDEN_FACTOR, DEMAND_TIMEOUT, Demand, Holder, INITIAL_OWNERS, MAX_OWNERS, Remainder,
+    Report, WITHDRAW_DELAY,
 };
 use crate::key::Key;
 use crate::message::{Ask, Message, Want};
@@ -36,7 +36,7 @@
             return 0;
         }
         let shift = u32::try_from(steps).unwrap_or(8);
-        (INITIAL_OWNERS << shift).min(WIDTH)
+        (INITIAL_OWNERS << shift).min(MAX_OWNERS)
     }
 
     /// Records which lanes have requests waiting.
--- a/crates/kernel/src/holder/mod.rs
+++ b/crates/kernel/src/holder/mod.rs
@@ -8,7 +8,7 @@
 //! customer in any case, so that a grant is never returned at once.
 //!
 //! Demand is reported to one owner first and to twice as many after every
-//! [`Settings::widen`] in which requests have waited, up to [`WIDTH`]. Owners of
+//! [`Settings::widen`] in which requests have waited, up to [`MAX_OWNERS`]. Owners of
 //! targets with free slots come first, then those of targets in this router's failure
 //! domain. Demand is reported again when it differs much from the last report or is
 //! not granted.
@@ -28,7 +28,7 @@
 use crate::time::Instant;
 
 /// Most owners to which the demand of one lane is reported.
-pub const WIDTH: usize = 12;
+pub const MAX_OWNERS: usize = 12;
 
 /// Owners to which new demand of a lane is reported first.
 const INITIAL_OWNERS: usize = 1;
--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -324,14 +324,14 @@
     /// waiting requests are told to few.
     fn breadth(&self, table: &Table, demand: &Demand, width: usize, full: bool) -> usize {
         let width = if self.behind(table, demand) {
-            holder::WIDTH
+            holder::MAX_OWNERS
         } else {
             width
         };
         if !full {
             return width;
         }
-        let count = usize::try_from(demand.count).unwrap_or(holder::WIDTH);
+        let count = usize::try_from(demand.count).unwrap_or(holder::MAX_OWNERS);
         width.min(count.saturating_mul(SURPLUS))
     }
 
