--- a/crates/kernel/src/kernel/link.rs
+++ b/crates/kernel/src/kernel/link.rs
@@ -27,7 +27,7 @@
         incarnation: u64,
         messages: Vec<Message>,
     ) {
-        match self.view.hear(now, from, domain, incarnation) {
+        match self.view.record_message(now, from, domain, incarnation) {
             Heard::Stale => {
                 self.dropped.stale_messages += messages.len() as u64;
                 return;
--- a/crates/kernel/src/kernel/mod.rs
+++ b/crates/kernel/src/kernel/mod.rs
@@ -93,7 +93,7 @@
         let me = Key::new(&settings.name);
         let mut view = View::new();
         let domain = Key::new(&settings.domain);
-        view.hear(now, me, domain, settings.incarnation);
+        view.record_message(now, me, domain, settings.incarnation);
         Self {
             me,
             table: None,
--- a/crates/kernel/src/member.rs
+++ b/crates/kernel/src/member.rs
@@ -104,7 +104,13 @@
     }
 
     /// Records a message received from an instance.
-    pub fn hear(&mut self, now: Instant, from: Key, domain: Key, incarnation: u64) -> Heard {
+    pub fn record_message(
+        &mut self,
+        now: Instant,
+        from: Key,
+        domain: Key,
+        incarnation: u64,
+    ) -> Heard {
         let member = self.entry(from, domain);
         if incarnation < member.incarnation {
             return Heard::Stale;
