--- a/crates/kernel/src/kernel/link.rs
+++ b/crates/kernel/src/kernel/link.rs
@@ -5,7 +5,7 @@
 use super::{Kernel, Mail};
 use crate::action::Action;
 use crate::key::Key;
-use crate::member::{Heard, Listed};
+use crate::member::{Contact, Listed};
 use crate::message::{Grant, Hold, Message};
 use crate::request::Life;
 use crate::round::Scope;
@@ -28,12 +28,12 @@
         messages: Vec<Message>,
     ) {
         match self.view.record_message(now, from, domain, incarnation) {
-            Heard::Stale => {
+            Contact::Stale => {
                 self.dropped.stale_messages += messages.len() as u64;
                 return;
             }
-            Heard::Restarted => self.forget_router(now, from),
-            Heard::Same | Heard::Back => {}
+            Contact::Restarted => self.forget_router(now, from),
+            Contact::Same | Contact::Back => {}
         }
         for message in messages {
             self.take(now, from, message);
--- a/crates/kernel/src/member.rs
+++ b/crates/kernel/src/member.rs
@@ -62,7 +62,7 @@
 
 /// Effect of a received message on the sender's membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum Contact {
     /// None: the sender was live already.
     Same,
     /// The sender did not count as live before.
@@ -110,10 +110,10 @@
         from: Key,
         domain: Key,
         incarnation: u64,
-    ) -> Heard {
+    ) -> Contact {
         let member = self.entry(from, domain);
         if incarnation < member.incarnation {
-            return Heard::Stale;
+            return Contact::Stale;
         }
         let restarted = member.incarnation != 0 && incarnation > member.incarnation;
         let was_live = member.live();
@@ -128,9 +128,9 @@
             self.version += 1;
         }
         match (restarted, was_live) {
-            (true, _) => Heard::Restarted,
-            (false, false) => Heard::Back,
-            (false, true) => Heard::Same,
+            (true, _) => Contact::Restarted,
+            (false, false) => Contact::Back,
+            (false, true) => Contact::Same,
         }
     }
 
