--- a/crates/kernel/src/member.rs
+++ b/crates/kernel/src/member.rs
@@ -41,7 +41,7 @@
     /// Whether it is leaving.
     pub leaving: bool,
     /// Time of the last message received from it.
-    pub heard: Option<Instant>,
+    pub received_at: Option<Instant>,
     /// Time since which it is suspected to be dead or unreachable.
     pub suspected: Option<Instant>,
 }
@@ -56,7 +56,7 @@
     /// Whether the instance is known and not suspected, leaving or not.
     #[must_use]
     pub const fn reachable(&self) -> bool {
-        (self.listed || self.heard.is_some()) && self.suspected.is_none()
+        (self.listed || self.received_at.is_some()) && self.suspected.is_none()
     }
 }
 
@@ -118,7 +118,7 @@
         let restarted = member.incarnation != 0 && incarnation > member.incarnation;
         let was_live = member.live();
         member.incarnation = incarnation;
-        member.heard = Some(now);
+        member.received_at = Some(now);
         if restarted {
             member.leaving = false;
             member.suspected = None;
@@ -180,7 +180,10 @@
     pub fn prune(&mut self, now: Instant) {
         let before = self.live_set();
         self.members.retain(|_, member| {
-            member.listed || member.heard.is_some_and(|at| now.since(at) < RETENTION)
+            member.listed
+                || member
+                    .received_at
+                    .is_some_and(|at| now.since(at) < RETENTION)
         });
         self.update_version(&before);
     }
@@ -237,7 +240,7 @@
             incarnation: 0,
             listed: false,
             leaving: false,
-            heard: None,
+            received_at: None,
             suspected: None,
         })
     }
