--- a/crates/kernel/src/kernel/link.rs
+++ b/crates/kernel/src/kernel/link.rs
@@ -15,7 +15,7 @@
 
 impl Kernel {
     pub(super) fn list(&mut self, now: Instant, listed: &[Listed]) {
-        self.view.list(listed);
+        self.view.apply_list(listed);
         self.view.prune(now);
     }
 
--- a/crates/kernel/src/member.rs
+++ b/crates/kernel/src/member.rs
@@ -90,7 +90,7 @@
     }
 
     /// Applies the platform's list; instances that it lacks become unlisted.
-    pub fn list(&mut self, listed: &[Listed]) {
+    pub fn apply_list(&mut self, listed: &[Listed]) {
         let before = self.live_set();
         for member in self.members.values_mut() {
             member.listed = false;
