--- a/crates/kernel/src/member.rs
+++ b/crates/kernel/src/member.rs
@@ -148,7 +148,7 @@
     }
 
     /// Clears the suspicion of an instance.
-    pub fn clear(&mut self, key: Key) {
+    pub fn clear_suspicion(&mut self, key: Key) {
         let Some(member) = self.members.get_mut(&key) else {
             return;
         };
--- a/crates/kernel/src/round/mod.rs
+++ b/crates/kernel/src/round/mod.rs
@@ -256,7 +256,7 @@
 
     /// A root that had given this instance up is there: answer that we are too.
     pub fn probed(&mut self, from: Key, scope: &mut Scope<'_>) {
-        scope.view.clear(from);
+        scope.view.clear_suspicion(from);
         scope.outbox.push((from, Message::Up(self.knock())));
     }
 
@@ -301,9 +301,9 @@
     /// A parent starts a round.
     pub fn down(&mut self, now: Instant, from: Key, down: Down, scope: &mut Scope<'_>) {
         for key in &down.path {
-            scope.view.clear(*key);
+            scope.view.clear_suspicion(*key);
         }
-        scope.view.clear(from);
+        scope.view.clear_suspicion(from);
         let tree = Tree::new(scope.view, self.domain);
         let mine = tree.root() == Some(self.me);
         let seen = self
@@ -355,7 +355,7 @@
             if suspects.contains(&key) {
                 scope.view.suspect(now, key);
             } else {
-                scope.view.clear(key);
+                scope.view.clear_suspicion(key);
             }
         }
     }
@@ -366,7 +366,7 @@
             // Late, or a knock: alive all the same.
             if self.was_root {
                 self.misses.remove(&from);
-                scope.view.clear(from);
+                scope.view.clear_suspicion(from);
             }
             return;
         };
--- a/crates/kernel/src/round/peers.rs
+++ b/crates/kernel/src/round/peers.rs
@@ -209,7 +209,7 @@
             if total.suspects.contains(&key) {
                 scope.view.suspect(now, key);
             } else {
-                scope.view.clear(key);
+                scope.view.clear_suspicion(key);
             }
         }
     }
