--- a/crates/kernel/src/kernel/link.rs
+++ b/crates/kernel/src/kernel/link.rs
@@ -86,7 +86,7 @@
                 self.holder
                     .recall(now, &table, recall, from, &mut self.outbox);
             }
-            Message::Leaving => self.view.leave(from),
+            Message::Leaving => self.view.mark_leaving(from),
         }
     }
 
@@ -204,7 +204,7 @@
             return;
         }
         self.draining = Some(now);
-        self.view.leave(self.me);
+        self.view.mark_leaving(self.me);
         let others: Vec<Key> = self.view.live().collect();
         for other in others {
             self.outbox.push((other, Message::Leaving));
--- a/crates/kernel/src/member.rs
+++ b/crates/kernel/src/member.rs
@@ -167,7 +167,7 @@
     }
 
     /// Marks an instance as leaving.
-    pub fn leave(&mut self, key: Key) {
+    pub fn mark_leaving(&mut self, key: Key) {
         if let Some(member) = self.members.get_mut(&key)
             && !member.leaving
         {
