--- a/crates/kernel/src/kernel/link.rs
+++ b/crates/kernel/src/kernel/link.rs
@@ -182,11 +182,11 @@
     }
 
     pub(super) fn send_mail(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let linger = self.settings.linger;
+        let batch_delay = self.settings.batch_delay;
         let due: Vec<Key> = self
             .mail
             .iter()
-            .filter(|(_, mail)| now >= mail.since + linger)
+            .filter(|(_, mail)| now >= mail.since + batch_delay)
             .map(|(to, _)| *to)
             .collect();
         for to in due {
--- a/crates/kernel/src/kernel/mod.rs
+++ b/crates/kernel/src/kernel/mod.rs
@@ -170,7 +170,7 @@
             self.owner.next_grant_after(self.sweep_at),
             self.mail
                 .values()
-                .map(|mail| mail.since + self.settings.linger)
+                .map(|mail| mail.since + self.settings.batch_delay)
                 .min(),
             self.needs_sweep().then_some(self.sweep_at),
         ];
--- a/crates/kernel/src/settings.rs
+++ b/crates/kernel/src/settings.rs
@@ -35,7 +35,7 @@
     /// Interval between account rounds.
     pub round: Duration,
     /// Time for which messages to one router are batched before they are sent.
-    pub linger: Duration,
+    pub batch_delay: Duration,
     /// Time for which an unused slot is held while no other customer waits for it.
     pub hold: Duration,
     /// Interval after which waiting demand is reported to twice as many owners.
@@ -73,7 +73,7 @@
             placement: Arc::from("affinity"),
             seed: 0,
             round: Duration::from_millis(500),
-            linger: Duration::from_millis(2),
+            batch_delay: Duration::from_millis(2),
             hold: Duration::from_secs(2),
             widen: Duration::from_millis(100),
             retell: Duration::from_secs(1),
