--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -260,7 +260,7 @@
                 holding.recalled()
                     || !row.open()
                     || self.health.ejected(now, *target)
-                    || now.since(holding.idle_since) >= self.settings.hold
+                    || now.since(holding.idle_since) >= self.settings.idle_timeout
                     || row
                         .services
                         .iter()
--- a/crates/kernel/src/settings.rs
+++ b/crates/kernel/src/settings.rs
@@ -37,7 +37,7 @@
     /// Time for which messages to one router are batched before they are sent.
     pub batch_delay: Duration,
     /// Time for which an unused slot is held while no other customer waits for it.
-    pub hold: Duration,
+    pub idle_timeout: Duration,
     /// Interval after which waiting demand is reported to twice as many owners.
     pub widen: Duration,
     /// Minimum interval between two demand reports to one owner.
@@ -74,7 +74,7 @@
             seed: 0,
             round: Duration::from_millis(500),
             batch_delay: Duration::from_millis(2),
-            hold: Duration::from_secs(2),
+            idle_timeout: Duration::from_secs(2),
             widen: Duration::from_millis(100),
             retell: Duration::from_secs(1),
             restate: Duration::from_secs(10),
