--- a/crates/kernel/src/holder/demand.rs
+++ b/crates/kernel/src/holder/demand.rs
@@ -26,9 +26,9 @@
         let busy = self.busy() > 0;
         let delayed = busy && full;
         let step = if delayed {
-            settings.widen * BUSY_WIDEN_FACTOR
+            settings.widen_interval * BUSY_WIDEN_FACTOR
         } else {
-            settings.widen
+            settings.widen_interval
         };
         let micros = step.as_micros().max(1);
         let steps = (now.since(*since).as_micros() / micros).min(8);
--- a/crates/kernel/src/settings.rs
+++ b/crates/kernel/src/settings.rs
@@ -39,7 +39,7 @@
     /// Time for which an unused slot is held while no other customer waits for it.
     pub idle_timeout: Duration,
     /// Interval after which waiting demand is reported to twice as many owners.
-    pub widen: Duration,
+    pub widen_interval: Duration,
     /// Minimum interval between two demand reports to one owner.
     pub retell: Duration,
     /// Interval at which a holder repeats its report of held slots, in case one was lost.
@@ -75,7 +75,7 @@
             round: Duration::from_millis(500),
             batch_delay: Duration::from_millis(2),
             idle_timeout: Duration::from_secs(2),
-            widen: Duration::from_millis(100),
+            widen_interval: Duration::from_millis(100),
             retell: Duration::from_secs(1),
             restate: Duration::from_secs(10),
             takeover: Duration::from_secs(1),
