--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -284,7 +284,7 @@
         let lanes: Vec<Lane> = self.queue.lanes().map(|(lane, _)| lane).collect();
         self.holder.record_waiting(now, &lanes);
         let mut wanted: BTreeMap<Key, Vec<Demand>> = BTreeMap::new();
-        let mut pause = self.settings.retell;
+        let mut pause = self.settings.demand_interval;
         for lane in lanes {
             let order = self.order(table, lane);
             let full = self.full(table, lane);
--- a/crates/kernel/src/settings.rs
+++ b/crates/kernel/src/settings.rs
@@ -41,7 +41,7 @@
     /// Interval after which waiting demand is reported to twice as many owners.
     pub widen_interval: Duration,
     /// Minimum interval between two demand reports to one owner.
-    pub retell: Duration,
+    pub demand_interval: Duration,
     /// Interval at which a holder repeats its report of held slots, in case one was lost.
     pub restate: Duration,
     /// Time for which a new owner collects reports before it grants.
@@ -76,7 +76,7 @@
             batch_delay: Duration::from_millis(2),
             idle_timeout: Duration::from_secs(2),
             widen_interval: Duration::from_millis(100),
-            retell: Duration::from_secs(1),
+            demand_interval: Duration::from_secs(1),
             restate: Duration::from_secs(10),
             takeover: Duration::from_secs(1),
             missed_rounds: 3,
