--- a/crates/kernel/src/holder/mod.rs
+++ b/crates/kernel/src/holder/mod.rs
@@ -343,7 +343,7 @@
         outbox.push((holding.owner, Message::Hold(hold)));
     }
 
-    /// Repeats reports of held slots that are older than [`Settings::restate`].
+    /// Repeats reports of held slots that are older than [`Settings::report_interval`].
     pub fn repeat_reports(
         &mut self,
         now: Instant,
@@ -354,7 +354,7 @@
         let due: Vec<Target> = self
             .holdings
             .iter()
-            .filter(|(_, holding)| now.since(holding.reported_at) >= settings.restate)
+            .filter(|(_, holding)| now.since(holding.reported_at) >= settings.report_interval)
             .map(|(target, _)| *target)
             .collect();
         for target in due {
--- a/crates/kernel/src/owner/mod.rs
+++ b/crates/kernel/src/owner/mod.rs
@@ -11,7 +11,7 @@
 //! A router reports the total that it holds ([`Hold`]); the owner adds the grants
 //! that the router had not received when it sent the report. A lost grant is thus
 //! detected with the next report, at the latest after
-//! [`crate::settings::Settings::restate`] and [`GRANT_TIMEOUT`]. A new owner collects
+//! [`crate::settings::Settings::report_interval`] and [`GRANT_TIMEOUT`]. A new owner collects
 //! reports for [`crate::settings::Settings::takeover`] before it grants; meanwhile
 //! routers continue to use the slots that they hold.
 
@@ -40,7 +40,7 @@
 const MAX_UNBATCHED_SLOTS: u32 = 2;
 
 /// Age of the last report after which a router that holds slots is queried; longer
-/// than [`crate::settings::Settings::restate`].
+/// than [`crate::settings::Settings::report_interval`].
 const REPORT_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// A grant that the router has not acknowledged.
--- a/crates/kernel/src/settings.rs
+++ b/crates/kernel/src/settings.rs
@@ -43,7 +43,7 @@
     /// Minimum interval between two demand reports to one owner.
     pub demand_interval: Duration,
     /// Interval at which a holder repeats its report of held slots, in case one was lost.
-    pub restate: Duration,
+    pub report_interval: Duration,
     /// Time for which a new owner collects reports before it grants.
     pub takeover: Duration,
     /// Consecutive missed rounds after which an instance is suspected.
@@ -77,7 +77,7 @@
             idle_timeout: Duration::from_secs(2),
             widen_interval: Duration::from_millis(100),
             demand_interval: Duration::from_secs(1),
-            restate: Duration::from_secs(10),
+            report_interval: Duration::from_secs(10),
             takeover: Duration::from_secs(1),
             missed_rounds: 3,
             window: Duration::from_secs(9),
