--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -80,7 +80,7 @@
             self.holder
                 .set_owner(now, table, target, owner, &mut self.outbox);
         }
-        self.owner.assign(now + self.settings.takeover, &mine);
+        self.owner.assign(now + self.settings.takeover_delay, &mine);
         let gone: Vec<Key> = self
             .view
             .all()
--- a/crates/kernel/src/settings.rs
+++ b/crates/kernel/src/settings.rs
@@ -45,7 +45,7 @@
     /// Interval at which a holder repeats its report of held slots, in case one was lost.
     pub report_interval: Duration,
     /// Time for which a new owner collects reports before it grants.
-    pub takeover: Duration,
+    pub takeover_delay: Duration,
     /// Consecutive missed rounds after which an instance is suspected.
     pub missed_rounds: u32,
     /// Lead over the pool's frontier up to which a customer keeps its slots at this
@@ -78,7 +78,7 @@
             widen_interval: Duration::from_millis(100),
             demand_interval: Duration::from_secs(1),
             report_interval: Duration::from_secs(10),
-            takeover: Duration::from_secs(1),
+            takeover_delay: Duration::from_secs(1),
             missed_rounds: 3,
             window: Duration::from_secs(9),
             reserve: 1_000,
