--- a/crates/kernel/src/account.rs
+++ b/crates/kernel/src/account.rs
@@ -18,7 +18,7 @@
 //! A request is charged with a reservation when it is admitted, with what it has
 //! used on top while it runs, and with exactly what it used at its end. Charges are
 //! therefore amounts with a sign, and their sum is what was used. The reservation
-//! is a multiple of the estimated cost ([`crate::settings::Settings::reserve`]). It
+//! is a multiple of the estimated cost ([`crate::settings::Settings::reserve_permille`]). It
 //! tells every router how many slots a customer has, not only what it received:
 //! slots cannot be taken back, so an order by what was received alone would give
 //! the customer that is behind far too many, starve it in turn, and swing.
--- a/crates/kernel/src/kernel/entry.rs
+++ b/crates/kernel/src/kernel/entry.rs
@@ -155,7 +155,9 @@
 
     /// What a request is charged ahead of its use, in units.
     pub(super) fn reservation(&self, arrival: &Arrival) -> u64 {
-        self.estimate(arrival).saturating_mul(self.settings.reserve) / 1_000
+        self.estimate(arrival)
+            .saturating_mul(self.settings.reserve_permille)
+            / 1_000
     }
 
     pub(super) fn progress(&mut self, request: Request, attempt: u32, units: u64) {
--- a/crates/kernel/src/settings.rs
+++ b/crates/kernel/src/settings.rs
@@ -53,7 +53,7 @@
     /// in this time.
     pub window: Duration,
     /// Units reserved for a running request, in thousandths of its estimated cost.
-    pub reserve: u64,
+    pub reserve_permille: u64,
     /// Maximum lag of a customer behind the customer that is furthest ahead, in units
     /// per share.
     pub owed: u64,
@@ -81,7 +81,7 @@
             takeover_delay: Duration::from_secs(1),
             missed_rounds: 3,
             window: Duration::from_secs(9),
-            reserve: 1_000,
+            reserve_permille: 1_000,
             owed: 262_144,
             quick_first: true,
         }
