--- a/crates/kernel/src/round/book.rs
+++ b/crates/kernel/src/round/book.rs
@@ -152,7 +152,7 @@
     before: &BTreeMap<Slot, u64>,
 ) -> Vec<(Slot, i64)> {
     let mut lifts = Vec::new();
-    let owed = i64::try_from(scope.settings.owed)
+    let owed = i64::try_from(scope.settings.max_lag_units)
         .unwrap_or(i64::MAX)
         .saturating_mul(SCALE);
     let time = |slot: &Slot| scope.book.virtual_time(slot.0, slot.1);
--- a/crates/kernel/src/settings.rs
+++ b/crates/kernel/src/settings.rs
@@ -56,7 +56,7 @@
     pub reserve_permille: u64,
     /// Maximum lag of a customer behind the customer that is furthest ahead, in units
     /// per share.
-    pub owed: u64,
+    pub max_lag_units: u64,
     /// Whether quick requests precede long ones of the same customer.
     pub quick_first: bool,
 }
@@ -82,7 +82,7 @@
             missed_rounds: 3,
             window: Duration::from_secs(9),
             reserve_permille: 1_000,
-            owed: 262_144,
+            max_lag_units: 262_144,
             quick_first: true,
         }
     }
