--- a/crates/kernel/src/kernel/link.rs
+++ b/crates/kernel/src/kernel/link.rs
@@ -149,7 +149,7 @@
             for (customer, line) in lines {
                 let late = line.heads().any(|head| match self.requests.get(&head) {
                     Some(Life::Waiting(request)) => {
-                        now.since(request.arrived) >= self.settings.round
+                        now.since(request.arrived) >= self.settings.round_interval
                     }
                     _ => false,
                 });
--- a/crates/kernel/src/round/mod.rs
+++ b/crates/kernel/src/round/mod.rs
@@ -184,7 +184,7 @@
     #[must_use]
     pub fn wake_at(&self, settings: &Settings) -> Instant {
         let silent = self.heard + silence(settings);
-        let settled = self.started + settings.round;
+        let settled = self.started + settings.round_interval;
         let due = match (self.was_root, self.root_seen) {
             (true, _) => self.next,
             // Nobody has told a round yet: perhaps this instance is to begin.
@@ -211,7 +211,7 @@
         }
         let tree = Tree::new(scope.view, self.domain);
         // A router that has just started may not have seen the list of instances yet.
-        let early = now.since(self.started) < scope.settings.round;
+        let early = now.since(self.started) < scope.settings.round_interval;
         if tree.root() == Some(self.me) && !early {
             if !self.was_root {
                 self.begin_root(now, scope);
@@ -281,12 +281,14 @@
         }
         // The root closes when its next round is due, others a step before their parent.
         let depth = u32::try_from(path.len()).unwrap_or(u32::MAX);
-        let ahead = PATIENCE.saturating_mul(depth).min(scope.settings.round);
+        let ahead = PATIENCE
+            .saturating_mul(depth)
+            .min(scope.settings.round_interval);
         self.open = Some(Open {
             round: down.round,
             parent,
             awaited: children.into_iter().collect(),
-            close_at: now + scope.settings.round - ahead,
+            close_at: now + scope.settings.round_interval - ahead,
             missed: Vec::new(),
             amounts: BTreeMap::new(),
             waiting: BTreeMap::new(),
@@ -402,7 +404,7 @@
 
 /// How long no round may start before the root is doubted.
 fn silence(settings: &Settings) -> Duration {
-    settings.round * (settings.missed_rounds + 1)
+    settings.round_interval * (settings.missed_rounds + 1)
 }
 
 fn limit(mut spare: Vec<Key>) -> Vec<Key> {
--- a/crates/kernel/src/round/root.rs
+++ b/crates/kernel/src/round/root.rs
@@ -36,7 +36,7 @@
         if self.open.is_some() {
             self.close(now, scope);
         }
-        self.next = now + scope.settings.round;
+        self.next = now + scope.settings.round_interval;
         self.heard = now;
         self.number += 1;
         self.publish(now, scope);
--- a/crates/kernel/src/settings.rs
+++ b/crates/kernel/src/settings.rs
@@ -33,7 +33,7 @@
     /// Seed for tie-breaking and jitter.
     pub seed: u64,
     /// Interval between account rounds.
-    pub round: Duration,
+    pub round_interval: Duration,
     /// Time for which messages to one router are batched before they are sent.
     pub batch_delay: Duration,
     /// Time for which an unused slot is held while no other customer waits for it.
@@ -72,7 +72,7 @@
             admission: Admission::Owner,
             placement: Arc::from("affinity"),
             seed: 0,
-            round: Duration::from_millis(500),
+            round_interval: Duration::from_millis(500),
             batch_delay: Duration::from_millis(2),
             idle_timeout: Duration::from_secs(2),
             widen_interval: Duration::from_millis(100),
@@ -111,7 +111,7 @@
     /// The same settings with another round interval.
     #[must_use]
     pub fn with_round(mut self, round: Duration) -> Self {
-        self.round = round;
+        self.round_interval = round;
         self
     }
 }
