--- a/crates/trial/examples/kernel-size/main.rs
+++ b/crates/trial/examples/kernel-size/main.rs
@@ -123,7 +123,7 @@
 /// A root, a node with children and one without, each by its number.
 fn roles(trial: &Trial) -> Vec<(&'static str, usize)> {
     let mut view = View::new();
-    view.list(&listed(trial));
+    view.apply_list(&listed(trial));
     let tree = Tree::new(&view, Key::new(&trial.domain(0)));
     let number = |key: Key| (0..trial.routers).find(|at| Key::new(&Trial::router(*at)) == key);
     let root = tree.root().and_then(number);
