--- a/crates/kernel/src/settings.rs
+++ b/crates/kernel/src/settings.rs
@@ -110,8 +110,8 @@
 
     /// The same settings with another round interval.
     #[must_use]
-    pub fn with_round(mut self, round: Duration) -> Self {
-        self.round_interval = round;
+    pub fn with_round_interval(mut self, interval: Duration) -> Self {
+        self.round_interval = interval;
         self
     }
 }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -338,7 +338,7 @@
     KernelSettings::new(&settings.name, &settings.domain)
         .with_incarnation(incarnation)
         .with_seed(settings.seed)
-        .with_round(settings.round)
+        .with_round_interval(settings.round)
 }
 
 fn log(address: SocketAddr) -> Box<dyn Log> {
--- a/crates/trial/src/fleet.rs
+++ b/crates/trial/src/fleet.rs
@@ -193,7 +193,7 @@
             .with_incarnation(incarnation)
             .with_admission(self.trial.admission)
             .with_seed(self.trial.seed)
-            .with_round(self.trial.round);
+            .with_round_interval(self.trial.round);
         Kernel::new(settings, self.now)
     }
 
