--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -225,7 +225,7 @@
             .targets
             .iter()
             .copied()
-            .max_by_key(|target| (placement.worth)(&self.candidate(table, choice, *target)));
+            .max_by_key(|target| (placement.score)(&self.candidate(table, choice, *target)));
         best.unwrap_or(first)
     }
 
--- a/crates/kernel/src/plugin.rs
+++ b/crates/kernel/src/plugin.rs
@@ -30,7 +30,7 @@
     /// Name of the policy in the settings.
     pub name: &'static str,
     /// Score of a candidate; the highest is chosen.
-    pub worth: fn(&Candidate) -> i64,
+    pub score: fn(&Candidate) -> i64,
 }
 
 inventory::collect!(Placement);
--- a/crates/policies/src/placement.rs
+++ b/crates/policies/src/placement.rs
@@ -33,6 +33,6 @@
     least(candidate) + ((i64::from(candidate.cached) * CACHED_BLOCK_SCORE) << 16)
 }
 
-inventory::submit! { Placement { name: "random", worth: random } }
-inventory::submit! { Placement { name: "least", worth: least } }
-inventory::submit! { Placement { name: "affinity", worth: affinity } }
+inventory::submit! { Placement { name: "random", score: random } }
+inventory::submit! { Placement { name: "least", score: least } }
+inventory::submit! { Placement { name: "affinity", score: affinity } }
