--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -244,7 +244,7 @@
             }),
             slots: row.slots,
             cached: 0,
-            near: *table.domain_name(row.domain) == self.settings.domain,
+            same_domain: *table.domain_name(row.domain) == self.settings.domain,
             draw: u32::from_le_bytes([draw[0], draw[1], draw[2], draw[3]]),
         }
     }
--- a/crates/kernel/src/plugin.rs
+++ b/crates/kernel/src/plugin.rs
@@ -19,7 +19,7 @@
     /// Prefix blocks of the request that are estimated to be cached at the target.
     pub cached: u32,
     /// Whether the target is in this router's failure domain.
-    pub near: bool,
+    pub same_domain: bool,
     /// Pseudo-random number for this request and target, for tie-breaking.
     pub draw: u32,
 }
--- a/crates/policies/src/placement.rs
+++ b/crates/policies/src/placement.rs
@@ -22,7 +22,11 @@
 fn least(candidate: &Candidate) -> i64 {
     let slots = i64::from(candidate.slots.max(1));
     let free = i64::from(candidate.free.min(candidate.slots)) * 1_000 / slots;
-    let near = if candidate.near { SAME_DOMAIN_SCORE } else { 0 };
+    let near = if candidate.same_domain {
+        SAME_DOMAIN_SCORE
+    } else {
+        0
+    };
     let tie = i64::from(candidate.draw >> 16);
     ((free + near) << 16) + tie
 }
