--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -243,7 +243,7 @@
                 Admission::Static | Admission::Owner => holding.free(),
             }),
             slots: row.slots,
-            cached: 0,
+            cached_blocks: 0,
             same_domain: *table.domain_name(row.domain) == self.settings.domain,
             draw: u32::from_le_bytes([draw[0], draw[1], draw[2], draw[3]]),
         }
--- a/crates/kernel/src/plugin.rs
+++ b/crates/kernel/src/plugin.rs
@@ -17,7 +17,7 @@
     /// Slots of the target.
     pub slots: u32,
     /// Prefix blocks of the request that are estimated to be cached at the target.
-    pub cached: u32,
+    pub cached_blocks: u32,
     /// Whether the target is in this router's failure domain.
     pub same_domain: bool,
     /// Pseudo-random number for this request and target, for tie-breaking.
--- a/crates/policies/src/placement.rs
+++ b/crates/policies/src/placement.rs
@@ -34,7 +34,7 @@
 /// Cache affinity: [`CACHED_BLOCK_SCORE`] for each cached block, plus the score of
 /// [`least`].
 fn affinity(candidate: &Candidate) -> i64 {
-    least(candidate) + ((i64::from(candidate.cached) * CACHED_BLOCK_SCORE) << 16)
+    least(candidate) + ((i64::from(candidate.cached_blocks) * CACHED_BLOCK_SCORE) << 16)
 }
 
 inventory::submit! { Placement { name: "random", score: random } }
