--- a/crates/kernel/src/kernel/link.rs
+++ b/crates/kernel/src/kernel/link.rs
@@ -54,7 +54,7 @@
             return;
         };
         match message {
-            Message::Down(down) => {
+            Message::Broadcast(down) => {
                 self.with_rounds(now, &table, |rounds, scope| {
                     rounds.down(now, from, down, scope);
                 });
--- a/crates/kernel/src/message.rs
+++ b/crates/kernel/src/message.rs
@@ -31,7 +31,7 @@
 pub struct Charge {
     /// The customer.
     pub customer: Key,
-    /// Units: an increment in [`Up`], a total in [`Down`] and [`Total`].
+    /// Units: an increment in [`Up`], a total in [`Broadcast`] and [`Total`].
     pub units: i64,
     /// Routers at which the customer has requests waiting.
     pub waiting: u32,
@@ -48,7 +48,7 @@
 
 /// From a parent: the accounts at the start of a round.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Down {
+pub struct Broadcast {
     /// The round that starts.
     pub round: Round,
     /// The instances from the root to the sender.
@@ -168,7 +168,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Message {
     /// Start of a round.
-    Down(Down),
+    Broadcast(Broadcast),
     /// Answer to a round.
     Up(Up),
     /// Totals of a run.
--- a/crates/kernel/src/round/mod.rs
+++ b/crates/kernel/src/round/mod.rs
@@ -1,7 +1,7 @@
 //! Rounds: how the fleet agrees on what each customer has received.
 //!
 //! In every failure domain the root of a [`tree::Tree`] starts a round at set
-//! times by sending [`Down`] to its children, who pass it on at once. Each instance
+//! times by sending [`Broadcast`] to its children, who pass it on at once. Each instance
 //! answers [`Up`] shortly before the next round is due, the deeper it stands the
 //! earlier, so that its parent can add the answer to its own. What a round tells is
 //! thus a few steps of 30 ms old, and the accounts are never older than one
@@ -9,12 +9,12 @@
 //!
 //! Amounts are counted exactly once. An instance keeps what it has charged until
 //! it learns that it was counted, and a node keeps nothing for its children. The
-//! next `Down` names every instance whose answer did not come in time; an amount
+//! next `Broadcast` names every instance whose answer did not come in time; an amount
 //! was counted if and only if neither the instance nor any on its path from the
 //! root is among them. Otherwise the instance sends it again in the next round.
 //! When a root dies before it has told the result, nobody has seen a total that
 //! includes the round, so sending again is right as well. The one gap is a root
-//! that dies while its `Down` is under way, a matter of milliseconds.
+//! that dies while its `Broadcast` is under way, a matter of milliseconds.
 //!
 //! Roots tell each other their totals after each round ([`crate::message::Total`]), and tell their
 //! deputy everything, so that the next root starts with all runs known. The same
@@ -40,7 +40,7 @@
 use crate::account::Book;
 use crate::key::Key;
 use crate::member::View;
-use crate::message::{Down, Message, Round, Run, Up};
+use crate::message::{Broadcast, Message, Round, Run, Up};
 use crate::settings::Settings;
 use crate::table::Table;
 use crate::time::Instant;
@@ -267,7 +267,7 @@
         scope: &mut Scope<'_>,
         tree: &Tree,
         parent: Option<Key>,
-        mut down: Down,
+        mut down: Broadcast,
     ) {
         let path = down.path.clone();
         down.path.push(self.me);
@@ -277,7 +277,9 @@
             .filter(|child| !down.path.contains(child))
             .collect();
         for child in &children {
-            scope.outbox.push((*child, Message::Down(down.clone())));
+            scope
+                .outbox
+                .push((*child, Message::Broadcast(down.clone())));
         }
         // The root closes when its next round is due, others a step before their parent.
         let depth = u32::try_from(path.len()).unwrap_or(u32::MAX);
@@ -301,7 +303,7 @@
     }
 
     /// A parent starts a round.
-    pub fn down(&mut self, now: Instant, from: Key, down: Down, scope: &mut Scope<'_>) {
+    pub fn down(&mut self, now: Instant, from: Key, down: Broadcast, scope: &mut Scope<'_>) {
         for key in &down.path {
             scope.view.clear_suspicion(*key);
         }
@@ -330,7 +332,7 @@
     }
 
     /// Settles the last answer: it counted, or it goes again.
-    fn confirm(&mut self, down: &Down, scope: &mut Scope<'_>) {
+    fn confirm(&mut self, down: &Broadcast, scope: &mut Scope<'_>) {
         let Some(answer) = self.answer.take() else {
             return;
         };
--- a/crates/kernel/src/round/root.rs
+++ b/crates/kernel/src/round/root.rs
@@ -4,7 +4,7 @@
 use super::tree::Tree;
 use super::{IDLE, NAMED, Open, Rounds, Scope, book, limit, silence};
 use crate::key::Key;
-use crate::message::{Down, Message, Round};
+use crate::message::{Broadcast, Message, Round};
 use crate::time::Instant;
 
 impl Rounds {
@@ -44,7 +44,7 @@
             run: self.run,
             number: self.number,
         };
-        let down = Down {
+        let down = Broadcast {
             round,
             path: Vec::new(),
             missed: self.last_missed.iter().cloned().collect(),
--- a/crates/trial/examples/kernel-size/drive.rs
+++ b/crates/trial/examples/kernel-size/drive.rs
@@ -11,7 +11,7 @@
 use dunlinward_kernel::key::Key;
 use dunlinward_kernel::member::Listed;
 use dunlinward_kernel::message::{
-    Ask, Charge, Down, Grant, Hold, Ledger, Message, Part, Round, Run, Total, Up, Want,
+    Ask, Broadcast, Charge, Grant, Hold, Ledger, Message, Part, Round, Run, Total, Up, Want,
 };
 use dunlinward_kernel::round::tree::Tree;
 use dunlinward_kernel::settings::Settings;
@@ -140,7 +140,7 @@
         match action {
             Action::Send { to, messages } => {
                 for message in messages {
-                    if let Message::Down(down) = message {
+                    if let Message::Broadcast(down) = message {
                         self.asked.push((to, down.round));
                     }
                 }
@@ -201,12 +201,12 @@
             return;
         }
         let down = self.spread(root);
-        self.receive("down", root, Message::Down(down));
+        self.receive("down", root, Message::Broadcast(down));
     }
 
     /// A round as its root begins it.
-    pub(crate) fn spread(&self, root: usize) -> Down {
-        Down {
+    pub(crate) fn spread(&self, root: usize) -> Broadcast {
+        Broadcast {
             round: self.round(root),
             path: vec![Key::new(&Trial::router(root))],
             missed: Vec::new(),
--- a/crates/trial/examples/kernel-size/main.rs
+++ b/crates/trial/examples/kernel-size/main.rs
@@ -106,7 +106,7 @@
         ..drive.total(0)
     };
     let told = [
-        ("down", Message::Down(drive.spread(0))),
+        ("down", Message::Broadcast(drive.spread(0))),
         ("up", Message::Up(drive.answer(drive.round(0)))),
         ("total", Message::Total(drive.total(0))),
         ("brief, one run", Message::Total(brief)),
--- a/crates/trial/src/fleet.rs
+++ b/crates/trial/src/fleet.rs
@@ -776,7 +776,7 @@
 /// The name of a kind of message.
 const fn kind(message: &Message) -> &'static str {
     match message {
-        Message::Down(_) => "down",
+        Message::Broadcast(_) => "down",
         Message::Up(_) => "up",
         Message::Total(_) => "total",
         Message::Probe => "probe",
