--- a/crates/kernel/src/kernel/link.rs
+++ b/crates/kernel/src/kernel/link.rs
@@ -60,7 +60,7 @@
                 });
                 self.orders.clear();
             }
-            Message::Up(up) => {
+            Message::Aggregate(up) => {
                 self.with_rounds(now, &table, |rounds, scope| {
                     rounds.up(from, &up, scope);
                 });
--- a/crates/kernel/src/message.rs
+++ b/crates/kernel/src/message.rs
@@ -31,7 +31,7 @@
 pub struct Charge {
     /// The customer.
     pub customer: Key,
-    /// Units: an increment in [`Up`], a total in [`Broadcast`] and [`Total`].
+    /// Units: an increment in [`Aggregate`], a total in [`Broadcast`] and [`Total`].
     pub units: i64,
     /// Routers at which the customer has requests waiting.
     pub waiting: u32,
@@ -68,7 +68,7 @@
 
 /// To a parent: the increments of a subtree in a round.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Up {
+pub struct Aggregate {
     /// The round answered.
     pub round: Round,
     /// Instances of the subtree whose answer is missing.
@@ -170,7 +170,7 @@
     /// Start of a round.
     Broadcast(Broadcast),
     /// Answer to a round.
-    Up(Up),
+    Aggregate(Aggregate),
     /// Totals of a run.
     Total(Total),
     /// From a root to an instance that it suspects: asks whether it is still alive.
--- a/crates/kernel/src/round/mod.rs
+++ b/crates/kernel/src/round/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! In every failure domain the root of a [`tree::Tree`] starts a round at set
 //! times by sending [`Broadcast`] to its children, who pass it on at once. Each instance
-//! answers [`Up`] shortly before the next round is due, the deeper it stands the
+//! answers [`Aggregate`] shortly before the next round is due, the deeper it stands the
 //! earlier, so that its parent can add the answer to its own. What a round tells is
 //! thus a few steps of 30 ms old, and the accounts are never older than one
 //! period and these steps, however many instances there are.
@@ -40,7 +40,7 @@
 use crate::account::Book;
 use crate::key::Key;
 use crate::member::View;
-use crate::message::{Broadcast, Message, Round, Run, Up};
+use crate::message::{Aggregate, Broadcast, Message, Round, Run};
 use crate::settings::Settings;
 use crate::table::Table;
 use crate::time::Instant;
@@ -231,19 +231,19 @@
     fn doubt_root(&mut self, now: Instant, scope: &mut Scope<'_>, tree: &Tree) {
         if let Some(root) = tree.root() {
             scope.view.suspect(now, root);
-            scope.outbox.push((root, Message::Up(self.knock())));
+            scope.outbox.push((root, Message::Aggregate(self.knock())));
         }
         let next = Tree::new(scope.view, self.domain).root();
         if let Some(next) = next.filter(|next| *next != self.me) {
-            scope.outbox.push((next, Message::Up(self.knock())));
+            scope.outbox.push((next, Message::Aggregate(self.knock())));
         }
         self.heard = now;
         self.next = now;
     }
 
     /// An answer to no round, which only shows that the sender is alive.
-    fn knock(&self) -> Up {
-        Up {
+    fn knock(&self) -> Aggregate {
+        Aggregate {
             round: Round {
                 run: self.run,
                 number: 0,
@@ -257,7 +257,7 @@
     /// A root that had given this instance up is there: answer that we are too.
     pub fn probed(&mut self, from: Key, scope: &mut Scope<'_>) {
         scope.view.clear_suspicion(from);
-        scope.outbox.push((from, Message::Up(self.knock())));
+        scope.outbox.push((from, Message::Aggregate(self.knock())));
     }
 
     /// Passes a round on to the children and opens it here.
@@ -365,7 +365,7 @@
     }
 
     /// A child answers.
-    pub fn up(&mut self, from: Key, up: &Up, scope: &mut Scope<'_>) {
+    pub fn up(&mut self, from: Key, up: &Aggregate, scope: &mut Scope<'_>) {
         let Some(open) = self.open.as_mut().filter(|open| open.round == up.round) else {
             // Late, or a knock: alive all the same.
             if self.was_root {
@@ -391,13 +391,13 @@
         open.spare.append(&mut scope.spare);
         book::take(scope.book, scope.table, &mut open);
         if let Some(parent) = open.parent {
-            let up = Up {
+            let up = Aggregate {
                 round: open.round,
                 missed: open.missed,
                 charges: book::ledgers(scope.table, &open.amounts, &open.waiting),
                 spare: limit(open.spare),
             };
-            scope.outbox.push((parent, Message::Up(up)));
+            scope.outbox.push((parent, Message::Aggregate(up)));
             return;
         }
         self.count(now, scope, open);
--- a/crates/trial/examples/kernel-size/drive.rs
+++ b/crates/trial/examples/kernel-size/drive.rs
@@ -11,7 +11,7 @@
 use dunlinward_kernel::key::Key;
 use dunlinward_kernel::member::Listed;
 use dunlinward_kernel::message::{
-    Ask, Broadcast, Charge, Grant, Hold, Ledger, Message, Part, Round, Run, Total, Up, Want,
+    Aggregate, Ask, Broadcast, Charge, Grant, Hold, Ledger, Message, Part, Round, Run, Total, Want,
 };
 use dunlinward_kernel::round::tree::Tree;
 use dunlinward_kernel::settings::Settings;
@@ -221,14 +221,14 @@
         for (child, round) in std::mem::take(&mut self.asked) {
             let up = self.answer(round);
             if let Some(child) = self.number(child) {
-                self.receive("up", child, Message::Up(up));
+                self.receive("up", child, Message::Aggregate(up));
             }
         }
     }
 
     /// An answer to a round from a child.
-    pub(crate) fn answer(&self, round: Round) -> Up {
-        Up {
+    pub(crate) fn answer(&self, round: Round) -> Aggregate {
+        Aggregate {
             round,
             missed: Vec::new(),
             charges: self.ledgers(self.told()),
--- a/crates/trial/examples/kernel-size/main.rs
+++ b/crates/trial/examples/kernel-size/main.rs
@@ -107,7 +107,7 @@
     };
     let told = [
         ("down", Message::Broadcast(drive.spread(0))),
-        ("up", Message::Up(drive.answer(drive.round(0)))),
+        ("up", Message::Aggregate(drive.answer(drive.round(0)))),
         ("total", Message::Total(drive.total(0))),
         ("brief, one run", Message::Total(brief)),
         ("want", Message::Want(drive.want(1))),
--- a/crates/trial/src/fleet.rs
+++ b/crates/trial/src/fleet.rs
@@ -777,7 +777,7 @@
 const fn kind(message: &Message) -> &'static str {
     match message {
         Message::Broadcast(_) => "down",
-        Message::Up(_) => "up",
+        Message::Aggregate(_) => "up",
         Message::Total(_) => "total",
         Message::Probe => "probe",
         Message::Want(_) => "want",
