--- a/crates/kernel/src/message.rs
+++ b/crates/kernel/src/message.rs
@@ -122,7 +122,7 @@
 
 /// Slots granted for one customer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Part {
+pub struct Allocation {
     /// The customer.
     pub customer: Key,
     /// Number of slots.
@@ -137,7 +137,7 @@
     /// Increases with every grant of this owner.
     pub sequence: u64,
     /// Slots by customer.
-    pub parts: Vec<Part>,
+    pub parts: Vec<Allocation>,
 }
 
 /// To an owner: the total of slots of a target that the sender holds.
--- a/crates/kernel/src/owner/grant.rs
+++ b/crates/kernel/src/owner/grant.rs
@@ -7,7 +7,7 @@
 use crate::account::{Book, Rank};
 use crate::id::{Customer, Target};
 use crate::key::Key;
-use crate::message::{Grant, Message, Part, Recall};
+use crate::message::{Allocation, Grant, Message, Recall};
 use crate::table::Table;
 use crate::time::Instant;
 
@@ -119,7 +119,7 @@
         if !owned.is_ready(now, free) {
             return;
         }
-        let mut granted: BTreeMap<Key, Vec<Part>> = BTreeMap::new();
+        let mut granted: BTreeMap<Key, Vec<Allocation>> = BTreeMap::new();
         while free > 0 {
             let Some((router, customer)) = self.take_next(now, table, book, target) else {
                 break;
@@ -197,7 +197,7 @@
         table: &Table,
         target: Target,
         router: Key,
-        parts: Vec<Part>,
+        parts: Vec<Allocation>,
     ) -> Message {
         let count = parts.iter().map(|part| part.count).sum();
         let mut sequence = 0;
@@ -253,9 +253,9 @@
 }
 
 /// Adds one slot for a customer to the parts of a grant.
-fn add_slot(parts: &mut Vec<Part>, customer: Key) {
+fn add_slot(parts: &mut Vec<Allocation>, customer: Key) {
     match parts.iter_mut().find(|part| part.customer == customer) {
         Some(part) => part.count += 1,
-        None => parts.push(Part { customer, count: 1 }),
+        None => parts.push(Allocation { customer, count: 1 }),
     }
 }
--- a/crates/trial/examples/kernel-size/drive.rs
+++ b/crates/trial/examples/kernel-size/drive.rs
@@ -11,7 +11,8 @@
 use dunlinward_kernel::key::Key;
 use dunlinward_kernel::member::Listed;
 use dunlinward_kernel::message::{
-    Aggregate, Ask, Broadcast, Charge, Grant, Hold, Ledger, Message, Part, Round, Run, Total, Want,
+    Aggregate, Allocation, Ask, Broadcast, Charge, Grant, Hold, Ledger, Message, Round, Run, Total,
+    Want,
 };
 use dunlinward_kernel::round::tree::Tree;
 use dunlinward_kernel::settings::Settings;
@@ -344,7 +345,7 @@
         Grant {
             target: self.table.targets[target.row()].key,
             sequence: self.beat,
-            parts: vec![Part {
+            parts: vec![Allocation {
                 customer: self.table.customers[customer].key,
                 count: 1,
             }],
