--- a/crates/kernel/src/holder/mod.rs
+++ b/crates/kernel/src/holder/mod.rs
@@ -192,11 +192,11 @@
         holding.sequence = grant.sequence;
         holding.idle_since = now;
         holding.recalled = false;
-        for part in &grant.parts {
-            holding.held += part.count;
-            granted += u64::from(part.count);
-            if let Some(customer) = table.customer_by_key(part.customer) {
-                *holding.permits.entry(customer).or_default() += part.count;
+        for allocation in &grant.allocations {
+            holding.held += allocation.count;
+            granted += u64::from(allocation.count);
+            if let Some(customer) = table.customer_by_key(allocation.customer) {
+                *holding.permits.entry(customer).or_default() += allocation.count;
             }
         }
         self.moved.granted += granted;
@@ -210,11 +210,11 @@
             return;
         };
         report.active_at = Some(now);
-        for part in &grant.parts {
-            let Some(customer) = table.customer_by_key(part.customer) else {
+        for allocation in &grant.allocations {
+            let Some(customer) = table.customer_by_key(allocation.customer) else {
                 continue;
             };
-            let mut left = part.count;
+            let mut left = allocation.count;
             for ((_, other), remainder) in &mut report.rows {
                 if *other == customer {
                     let deducted = remainder.count.min(left);
--- a/crates/kernel/src/message.rs
+++ b/crates/kernel/src/message.rs
@@ -137,7 +137,7 @@
     /// Increases with every grant of this owner.
     pub sequence: u64,
     /// Slots by customer.
-    pub parts: Vec<Allocation>,
+    pub allocations: Vec<Allocation>,
 }
 
 /// To an owner: the total of slots of a target that the sender holds.
--- a/crates/kernel/src/owner/grant.rs
+++ b/crates/kernel/src/owner/grant.rs
@@ -130,8 +130,8 @@
             );
             free -= 1;
         }
-        for (router, parts) in granted {
-            let message = self.grant(now, table, target, router, parts);
+        for (router, allocations) in granted {
+            let message = self.grant(now, table, target, router, allocations);
             outbox.push((router, message));
         }
         // Holders that know of waiting customers return unused slots without a recall.
@@ -197,9 +197,9 @@
         table: &Table,
         target: Target,
         router: Key,
-        parts: Vec<Allocation>,
+        allocations: Vec<Allocation>,
     ) -> Message {
-        let count = parts.iter().map(|part| part.count).sum();
+        let count = allocations.iter().map(|allocation| allocation.count).sum();
         let mut sequence = 0;
         if let Some(owned) = self.owned.get_mut(&target) {
             let grantee = owned.grantees.entry(router).or_default();
@@ -214,7 +214,7 @@
         Message::Grant(Grant {
             target: table.targets[target.row()].key,
             sequence,
-            parts,
+            allocations,
         })
     }
 
@@ -252,10 +252,13 @@
     }
 }
 
-/// Adds one slot for a customer to the parts of a grant.
-fn add_slot(parts: &mut Vec<Allocation>, customer: Key) {
-    match parts.iter_mut().find(|part| part.customer == customer) {
-        Some(part) => part.count += 1,
-        None => parts.push(Allocation { customer, count: 1 }),
+/// Adds one slot for a customer to the allocations of a grant.
+fn add_slot(allocations: &mut Vec<Allocation>, customer: Key) {
+    match allocations
+        .iter_mut()
+        .find(|allocation| allocation.customer == customer)
+    {
+        Some(allocation) => allocation.count += 1,
+        None => allocations.push(Allocation { customer, count: 1 }),
     }
 }
--- a/crates/trial/examples/kernel-size/drive.rs
+++ b/crates/trial/examples/kernel-size/drive.rs
@@ -345,7 +345,7 @@
         Grant {
             target: self.table.targets[target.row()].key,
             sequence: self.beat,
-            parts: vec![Allocation {
+            allocations: vec![Allocation {
                 customer: self.table.customers[customer].key,
                 count: 1,
             }],
