--- a/crates/kernel/src/holder/demand.rs
+++ b/crates/kernel/src/holder/demand.rs
@@ -7,7 +7,7 @@
     Report, WITHDRAW_DELAY,
 };
 use crate::key::Key;
-use crate::message::{Ask, Message, Want};
+use crate::message::{Backlog, Message, Want};
 use crate::queue::Lane;
 use crate::settings::Settings;
 use crate::table::Table;
@@ -94,7 +94,10 @@
             .collect();
         let want = Want {
             stamp: report.stamp,
-            asks: demands.iter().map(|demand| ask(table, demand)).collect(),
+            asks: demands
+                .iter()
+                .map(|demand| backlog(table, demand))
+                .collect(),
         };
         outbox.push((owner, Message::Want(want)));
     }
@@ -142,8 +145,8 @@
         })
 }
 
-fn ask(table: &Table, demand: &Demand) -> Ask {
-    Ask {
+fn backlog(table: &Table, demand: &Demand) -> Backlog {
+    Backlog {
         service: table.services[demand.lane.service.row()].key,
         model: demand.lane.model.map(|model| table.model_key(model)),
         customer: table.customers[demand.customer.row()].key,
--- a/crates/kernel/src/message.rs
+++ b/crates/kernel/src/message.rs
@@ -98,7 +98,7 @@
 
 /// Waiting requests of one customer for one service or model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Ask {
+pub struct Backlog {
     /// The service.
     pub service: Key,
     /// The model, for services that have models.
@@ -117,7 +117,7 @@
     /// Increases with every report of this sender.
     pub stamp: u64,
     /// Waiting requests by customer, service and model.
-    pub asks: Vec<Ask>,
+    pub asks: Vec<Backlog>,
 }
 
 /// Slots granted for one customer.
--- a/crates/kernel/src/owner/mod.rs
+++ b/crates/kernel/src/owner/mod.rs
@@ -22,7 +22,7 @@
 
 use crate::id::{Customer, Target};
 use crate::key::Key;
-use crate::message::{Ask, Hold, Want};
+use crate::message::{Backlog, Hold, Want};
 use crate::queue::Lane;
 use crate::table::Table;
 use crate::time::Instant;
@@ -230,7 +230,7 @@
         demands.rows = want
             .asks
             .iter()
-            .filter_map(|ask| resolve(table, ask))
+            .filter_map(|backlog| resolve(table, backlog))
             .collect();
     }
 
@@ -273,16 +273,16 @@
 }
 
 /// Resolves the keys of a reported demand; `None` if one is not in the table.
-fn resolve(table: &Table, ask: &Ask) -> Option<Demand> {
-    let service = table.service_by_key(ask.service)?;
-    let model = match ask.model {
+fn resolve(table: &Table, backlog: &Backlog) -> Option<Demand> {
+    let service = table.service_by_key(backlog.service)?;
+    let model = match backlog.model {
         Some(key) => Some(table.model_by_key(key)?),
         None => None,
     };
     Some(Demand {
         lane: Lane { service, model },
-        customer: table.customer_by_key(ask.customer)?,
-        count: ask.count,
-        cost: ask.cost,
+        customer: table.customer_by_key(backlog.customer)?,
+        count: backlog.count,
+        cost: backlog.cost,
     })
 }
--- a/crates/trial/examples/kernel-size/drive.rs
+++ b/crates/trial/examples/kernel-size/drive.rs
@@ -11,8 +11,8 @@
 use dunlinward_kernel::key::Key;
 use dunlinward_kernel::member::Listed;
 use dunlinward_kernel::message::{
-    Aggregate, Allocation, Ask, Broadcast, Charge, Grant, Hold, Ledger, Message, Round, Run, Total,
-    Want,
+    Aggregate, Allocation, Backlog, Broadcast, Charge, Grant, Hold, Ledger, Message, Round, Run,
+    Total, Want,
 };
 use dunlinward_kernel::round::tree::Tree;
 use dunlinward_kernel::settings::Settings;
@@ -316,7 +316,7 @@
     /// What another entry wants for at most some customers.
     pub(crate) fn want(&self, most: usize) -> Want {
         let waiting = 0..self.trial.backlogged.min(most);
-        let asks = waiting.map(|customer| Ask {
+        let asks = waiting.map(|customer| Backlog {
             service: self.table.services[self.service(customer).row()].key,
             model: None,
             customer: self.table.customers[customer].key,
