--- a/crates/kernel/src/holder/demand.rs
+++ b/crates/kernel/src/holder/demand.rs
@@ -94,7 +94,7 @@
             .collect();
         let want = Want {
             stamp: report.stamp,
-            asks: demands
+            backlogs: demands
                 .iter()
                 .map(|demand| backlog(table, demand))
                 .collect(),
--- a/crates/kernel/src/message.rs
+++ b/crates/kernel/src/message.rs
@@ -117,7 +117,7 @@
     /// Increases with every report of this sender.
     pub stamp: u64,
     /// Waiting requests by customer, service and model.
-    pub asks: Vec<Backlog>,
+    pub backlogs: Vec<Backlog>,
 }
 
 /// Slots granted for one customer.
--- a/crates/kernel/src/owner/mod.rs
+++ b/crates/kernel/src/owner/mod.rs
@@ -228,7 +228,7 @@
         }
         demands.stamp = want.stamp;
         demands.rows = want
-            .asks
+            .backlogs
             .iter()
             .filter_map(|backlog| resolve(table, backlog))
             .collect();
--- a/crates/trial/examples/kernel-size/drive.rs
+++ b/crates/trial/examples/kernel-size/drive.rs
@@ -325,7 +325,7 @@
         });
         Want {
             stamp: self.beat,
-            asks: asks.collect(),
+            backlogs: asks.collect(),
         }
     }
 
