--- a/crates/kernel/src/holder/demand.rs
+++ b/crates/kernel/src/holder/demand.rs
@@ -7,7 +7,7 @@
     Report, WITHDRAW_DELAY,
 };
 use crate::key::Key;
-use crate::message::{Backlog, Message, Want};
+use crate::message::{self, Backlog, Message};
 use crate::queue::Lane;
 use crate::settings::Settings;
 use crate::table::Table;
@@ -92,14 +92,14 @@
                 ((demand.lane, demand.customer), remainder)
             })
             .collect();
-        let want = Want {
+        let message = message::Demand {
             stamp: report.stamp,
             backlogs: demands
                 .iter()
                 .map(|demand| backlog(table, demand))
                 .collect(),
         };
-        outbox.push((owner, Message::Want(want)));
+        outbox.push((owner, Message::Demand(message)));
     }
 
     /// Owners to which demand was reported.
--- a/crates/kernel/src/kernel/link.rs
+++ b/crates/kernel/src/kernel/link.rs
@@ -73,7 +73,7 @@
             Message::Probe => {
                 self.with_rounds(now, &table, |rounds, scope| rounds.probed(from, scope));
             }
-            Message::Want(want) => self.owner.record_demand(&table, from, &want),
+            Message::Demand(demand) => self.owner.record_demand(&table, from, &demand),
             Message::Grant(grant) => self.take_grant(now, &table, from, &grant),
             Message::Hold(hold) => match table.target_by_key(hold.target) {
                 Some(target) => self.owner.record_hold(now, from, target, &hold),
--- a/crates/kernel/src/message.rs
+++ b/crates/kernel/src/message.rs
@@ -113,7 +113,7 @@
 
 /// To an owner: all requests waiting at the sender, replacing its last report.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Want {
+pub struct Demand {
     /// Increases with every report of this sender.
     pub stamp: u64,
     /// Waiting requests by customer, service and model.
@@ -176,7 +176,7 @@
     /// From a root to an instance that it suspects: asks whether it is still alive.
     Probe,
     /// Waiting requests.
-    Want(Want),
+    Demand(Demand),
     /// Slots granted.
     Grant(Grant),
     /// Slots held.
--- a/crates/kernel/src/owner/mod.rs
+++ b/crates/kernel/src/owner/mod.rs
@@ -22,7 +22,7 @@
 
 use crate::id::{Customer, Target};
 use crate::key::Key;
-use crate::message::{Backlog, Hold, Want};
+use crate::message::{self, Backlog, Hold};
 use crate::queue::Lane;
 use crate::table::Table;
 use crate::time::Instant;
@@ -221,13 +221,13 @@
     }
 
     /// Records the demands that a router reports; outdated reports are ignored.
-    pub fn record_demand(&mut self, table: &Table, from: Key, want: &Want) {
+    pub fn record_demand(&mut self, table: &Table, from: Key, report: &message::Demand) {
         let demands = self.demands.entry(from).or_default();
-        if want.stamp <= demands.stamp {
+        if report.stamp <= demands.stamp {
             return;
         }
-        demands.stamp = want.stamp;
-        demands.rows = want
+        demands.stamp = report.stamp;
+        demands.rows = report
             .backlogs
             .iter()
             .filter_map(|backlog| resolve(table, backlog))
--- a/crates/trial/examples/kernel-size/drive.rs
+++ b/crates/trial/examples/kernel-size/drive.rs
@@ -11,8 +11,8 @@
 use dunlinward_kernel::key::Key;
 use dunlinward_kernel::member::Listed;
 use dunlinward_kernel::message::{
-    Aggregate, Allocation, Backlog, Broadcast, Charge, Grant, Hold, Ledger, Message, Round, Run,
-    Total, Want,
+    Aggregate, Allocation, Backlog, Broadcast, Charge, Demand, Grant, Hold, Ledger, Message, Round,
+    Run, Total,
 };
 use dunlinward_kernel::round::tree::Tree;
 use dunlinward_kernel::settings::Settings;
@@ -306,7 +306,7 @@
             return;
         }
         let want = self.want(10);
-        self.receive("want", from, Message::Want(want));
+        self.receive("want", from, Message::Demand(want));
         if let Some(target) = self.owned(at) {
             let hold = self.hold(target);
             self.receive("hold", from, Message::Hold(hold));
@@ -314,7 +314,7 @@
     }
 
     /// What another entry wants for at most some customers.
-    pub(crate) fn want(&self, most: usize) -> Want {
+    pub(crate) fn want(&self, most: usize) -> Demand {
         let waiting = 0..self.trial.backlogged.min(most);
         let asks = waiting.map(|customer| Backlog {
             service: self.table.services[self.service(customer).row()].key,
@@ -323,7 +323,7 @@
             count: 2,
             cost: 150,
         });
-        Want {
+        Demand {
             stamp: self.beat,
             backlogs: asks.collect(),
         }
--- a/crates/trial/examples/kernel-size/main.rs
+++ b/crates/trial/examples/kernel-size/main.rs
@@ -110,7 +110,7 @@
         ("up", Message::Aggregate(drive.answer(drive.round(0)))),
         ("total", Message::Total(drive.total(0))),
         ("brief, one run", Message::Total(brief)),
-        ("want", Message::Want(drive.want(1))),
+        ("want", Message::Demand(drive.want(1))),
         ("grant", Message::Grant(drive.grants(0, Target::new(0)))),
         ("hold", Message::Hold(drive.hold(0))),
     ];
--- a/crates/trial/src/fleet.rs
+++ b/crates/trial/src/fleet.rs
@@ -780,7 +780,7 @@
         Message::Aggregate(_) => "up",
         Message::Total(_) => "total",
         Message::Probe => "probe",
-        Message::Want(_) => "want",
+        Message::Demand(_) => "want",
         Message::Grant(_) => "grant",
         Message::Hold(_) => "hold",
         Message::Recall(_) => "recall",
