--- a/crates/kernel/src/holder/mod.rs
+++ b/crates/kernel/src/holder/mod.rs
@@ -127,7 +127,7 @@
 
 /// Counts of slots and reports exchanged with owners.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Moved {
+pub struct Counts {
     /// Slots granted to this router.
     pub granted: u64,
     /// Slots returned to owners.
@@ -142,7 +142,7 @@
 #[derive(Debug, Default)]
 pub struct Holder {
     /// Counts of slots and reports exchanged with owners.
-    pub moved: Moved,
+    pub moved: Counts,
     holdings: BTreeMap<Target, Holding>,
     reports: BTreeMap<Key, Report>,
     waiting_since: BTreeMap<Lane, Instant>,
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, PoisonError, Weak};
 use std::time::Duration;
 
-use dunlinward_kernel::holder::Moved;
+use dunlinward_kernel::holder::Counts;
 use dunlinward_kernel::kernel::Dropped;
 use dunlinward_kernel::verdict::{Failure, Refusal, Verdict};
 use dunlinward_wire::Pool;
@@ -72,7 +72,7 @@
 /// Counts that the kernel keeps, as last seen.
 #[derive(Debug, Default)]
 struct Seen {
-    moved: Moved,
+    moved: Counts,
     dropped: Dropped,
 }
 
@@ -237,7 +237,7 @@
     }
 
     /// What the kernel has counted so far.
-    pub fn kernel(&self, moved: Moved, dropped: Dropped) {
+    pub fn kernel(&self, moved: Counts, dropped: Dropped) {
         self.kernel.count(moved, dropped);
     }
 
@@ -335,7 +335,7 @@
     }
 
     /// Adds what was counted since the last call; most calls find nothing new.
-    fn count(&self, moved: Moved, dropped: Dropped) {
+    fn count(&self, moved: Counts, dropped: Dropped) {
         let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
         if seen.moved != moved {
             self.granted.add(moved.granted - seen.moved.granted, &[]);
