--- a/crates/kernel/src/holder/mod.rs
+++ b/crates/kernel/src/holder/mod.rs
@@ -142,7 +142,7 @@
 #[derive(Debug, Default)]
 pub struct Holder {
     /// Counts of slots and reports exchanged with owners.
-    pub moved: Counts,
+    pub counts: Counts,
     holdings: BTreeMap<Target, Holding>,
     reports: BTreeMap<Key, Report>,
     waiting_since: BTreeMap<Lane, Instant>,
@@ -199,7 +199,7 @@
                 *holding.permits.entry(customer).or_default() += allocation.count;
             }
         }
-        self.moved.granted += granted;
+        self.counts.granted += granted;
         self.deduct_granted(now, table, owner, grant);
         true
     }
@@ -311,8 +311,8 @@
             return;
         }
         let unused: u32 = holding.permits.values().sum();
-        self.moved.returned += u64::from(holding.free());
-        self.moved.unused += u64::from(unused.min(holding.free()));
+        self.counts.returned += u64::from(holding.free());
+        self.counts.unused += u64::from(unused.min(holding.free()));
         holding.held = holding.busy;
         holding.permits.clear();
         self.report(now, table, target, outbox);
--- a/crates/router/src/driver/mod.rs
+++ b/crates/router/src/driver/mod.rs
@@ -129,7 +129,7 @@
         let begun = Instant::now();
         self.kernel.step(now, event, &mut self.actions);
         self.tools.metrics.stepped(begun.elapsed());
-        let (moved, dropped) = (self.kernel.holder().moved, self.kernel.dropped());
+        let (moved, dropped) = (self.kernel.holder().counts, self.kernel.dropped());
         self.tools.metrics.kernel(moved, dropped);
         let actions = std::mem::take(&mut self.actions);
         for action in actions {
--- a/crates/trial/src/report.rs
+++ b/crates/trial/src/report.rs
@@ -93,7 +93,7 @@
         let bytes: u64 = meter.traffic.iter().map(|row| row.bytes).sum();
         let messages: u64 = meter.traffic.iter().map(|row| row.messages).sum();
         let most = meter.traffic.iter().map(|row| row.bytes).max().unwrap_or(0);
-        let moved = (0..trial.routers).map(|at| fleet.node(at).holder().moved);
+        let moved = (0..trial.routers).map(|at| fleet.node(at).holder().counts);
         let granted: u64 = moved.clone().map(|row| row.granted).sum();
         let unused: u64 = moved.map(|row| row.unused).sum();
         let max_wait_ms = meter
