--- a/crates/kernel/src/holder/demand.rs
+++ b/crates/kernel/src/holder/demand.rs
@@ -79,7 +79,7 @@
             return;
         }
         self.stamp += 1;
-        self.counts.wants += 1;
+        self.counts.demands += 1;
         report.stamp = self.stamp;
         report.sent_at = Some(now);
         report.active_at = Some(now);
--- a/crates/kernel/src/holder/mod.rs
+++ b/crates/kernel/src/holder/mod.rs
@@ -135,7 +135,7 @@
     /// Slots returned that were not used since they were granted.
     pub unused: u64,
     /// Demand reports sent.
-    pub wants: u64,
+    pub demands: u64,
 }
 
 /// Slots held of all targets, and the demand reported to owners.
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -341,7 +341,7 @@
             self.granted.add(moved.granted - seen.moved.granted, &[]);
             self.returned.add(moved.returned - seen.moved.returned, &[]);
             self.unused.add(moved.unused - seen.moved.unused, &[]);
-            self.wants.add(moved.wants - seen.moved.wants, &[]);
+            self.wants.add(moved.demands - seen.moved.demands, &[]);
             seen.moved = moved;
         }
         if seen.dropped != dropped {
