--- a/crates/kernel/src/event.rs
+++ b/crates/kernel/src/event.rs
@@ -79,7 +79,7 @@
     /// A caller's request arrived.
     Arrived(Arrival),
     /// The caller disconnected.
-    Left(Request),
+    CallerLeft(Request),
     /// An attempt has used service and continues.
     Progressed {
         /// The request.
--- a/crates/kernel/src/kernel/mod.rs
+++ b/crates/kernel/src/kernel/mod.rs
@@ -132,7 +132,7 @@
             Event::Configured(table) => self.configure(table),
             Event::Listed(listed) => self.list(now, &listed),
             Event::Arrived(arrival) => self.arrive(now, arrival, actions),
-            Event::Left(request) => self.leave(now, request, actions),
+            Event::CallerLeft(request) => self.leave(now, request, actions),
             Event::Progressed {
                 request,
                 attempt,
--- a/crates/router/src/callers/body.rs
+++ b/crates/router/src/callers/body.rs
@@ -45,7 +45,9 @@
     fn drop(&mut self) {
         if !self.over {
             // A driver that is gone has ended the request already.
-            let _ = self.driver.send(Input::Event(Event::Left(self.request)));
+            let _ = self
+                .driver
+                .send(Input::Event(Event::CallerLeft(self.request)));
         }
     }
 }
--- a/crates/router/src/driver/mod.rs
+++ b/crates/router/src/driver/mod.rs
@@ -142,7 +142,7 @@
     fn note(&mut self, event: &Event) {
         match event {
             Event::Configured(table) => self.table = Some(Arc::clone(table)),
-            Event::Left(request) => {
+            Event::CallerLeft(request) => {
                 self.record_of(*request, Deed::Left);
                 self.count_left(*request);
             }
@@ -211,7 +211,7 @@
         if end.report.left {
             self.record_of(request, Deed::Left);
             self.count_left(request);
-            self.step(Event::Left(request));
+            self.step(Event::CallerLeft(request));
         }
         self.step(Event::Ended {
             request,
--- a/crates/trial/src/inject.rs
+++ b/crates/trial/src/inject.rs
@@ -328,7 +328,7 @@
     pub fn leave(&mut self, request: Request) {
         if let Some(call) = self.calls.get(&request).copied() {
             self.inject.left.insert(request);
-            self.step(call.node, Event::Left(request));
+            self.step(call.node, Event::CallerLeft(request));
         }
     }
 
