--- a/crates/kernel/src/event.rs
+++ b/crates/kernel/src/event.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The answer was delivered in full.
-    Whole {
+    Completed {
         /// Units of service used.
         units: u64,
     },
--- a/crates/kernel/src/kernel/entry.rs
+++ b/crates/kernel/src/kernel/entry.rs
@@ -212,7 +212,7 @@
             return;
         }
         match outcome {
-            Outcome::Whole { units } => self.complete(now, request, units, actions),
+            Outcome::Completed { units } => self.complete(now, request, units, actions),
             Outcome::Failed {
                 verdict,
                 failure,
--- a/crates/router/src/driver/entry.rs
+++ b/crates/router/src/driver/entry.rs
@@ -147,7 +147,7 @@
         self.running = None;
         let delivered = matches!(
             report.outcome,
-            Outcome::Whole { .. }
+            Outcome::Completed { .. }
                 | Outcome::Failed {
                     delivered: true,
                     ..
--- a/crates/router/src/driver/explain.rs
+++ b/crates/router/src/driver/explain.rs
@@ -30,7 +30,7 @@
     /// Writes the end of an attempt down.
     pub(super) fn record_end(&mut self, end: &End) {
         let (units, failed) = match end.report.outcome {
-            Outcome::Whole { units } => (units, None),
+            Outcome::Completed { units } => (units, None),
             Outcome::Failed {
                 units,
                 failure,
--- a/crates/router/src/driver/mod.rs
+++ b/crates/router/src/driver/mod.rs
@@ -189,7 +189,7 @@
         let call = &end.call;
         let (request, attempt) = (call.request, end.attempt);
         let (failure, units) = match end.report.outcome {
-            Outcome::Whole { units } => (None, units),
+            Outcome::Completed { units } => (None, units),
             Outcome::Failed { failure, units, .. } => (Some(failure), units),
         };
         self.tools.metrics.ended(&end.target, failure);
--- a/crates/router/src/targets/mod.rs
+++ b/crates/router/src/targets/mod.rs
@@ -199,7 +199,7 @@
         let stop = match ended {
             Ok(()) => {
                 return Report {
-                    outcome: Outcome::Whole {
+                    outcome: Outcome::Completed {
                         units: progress.units,
                     },
                     proof: None,
--- a/crates/trial/examples/kernel-size/drive.rs
+++ b/crates/trial/examples/kernel-size/drive.rs
@@ -423,7 +423,7 @@
         let event = Event::Ended {
             request,
             attempt,
-            outcome: Outcome::Whole { units: 150 },
+            outcome: Outcome::Completed { units: 150 },
         };
         self.step("end", event);
         if let Some(customer) = self.customers.remove(&request)
--- a/crates/trial/src/fleet.rs
+++ b/crates/trial/src/fleet.rs
@@ -574,7 +574,7 @@
         self.meter.whole += 1;
         self.inject.note_whole(row.request);
         self.end_call(row.request);
-        let outcome = Outcome::Whole {
+        let outcome = Outcome::Completed {
             units: call.job.cost,
         };
         let event = Event::Ended {
