--- a/crates/kernel/src/event.rs
+++ b/crates/kernel/src/event.rs
@@ -8,7 +8,7 @@
 
 use crate::id::{Customer, Model, Request, Service};
 use crate::key::Key;
-use crate::member::Listed;
+use crate::membership::Listed;
 use crate::message::Message;
 use crate::table::Table;
 use crate::time::Instant;
--- a/crates/kernel/src/kernel/link.rs
+++ b/crates/kernel/src/kernel/link.rs
@@ -5,7 +5,7 @@
 use super::{Kernel, Mail};
 use crate::action::Action;
 use crate::key::Key;
-use crate::member::{Contact, Listed};
+use crate::membership::{Contact, Listed};
 use crate::message::{Grant, Hold, Message};
 use crate::request::Life;
 use crate::round::Scope;
--- a/crates/kernel/src/kernel/mod.rs
+++ b/crates/kernel/src/kernel/mod.rs
@@ -20,7 +20,7 @@
 use crate::holder::Holder;
 use crate::id::{Customer, Pool, Request, Service, Target};
 use crate::key::Key;
-use crate::member::View;
+use crate::membership::View;
 use crate::message::Message;
 use crate::owner::Owner;
 use crate::plugin::{self, Placement};
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -11,7 +11,7 @@
 //! - [`time`], [`id`], [`key`]: moments, dense indices, and names on the wire.
 //! - [`table`]: the accepted configuration as dense tables.
 //! - [`event`], [`action`], [`message`], [`verdict`]: what goes in and out.
-//! - [`member`], [`rendezvous`]: who is alive and who owns which target.
+//! - [`membership`], [`rendezvous`]: who is alive and who owns which target.
 //! - [`queue`], [`request`]: callers' requests while they are ours.
 //! - [`retry`], [`health`]: trying again, and where not to.
 //! - [`account`], [`round`]: service received, summed over the fleet.
@@ -28,7 +28,7 @@
 pub mod id;
 pub mod kernel;
 pub mod key;
-pub mod member;
+pub mod membership;
 pub mod message;
 pub mod owner;
 pub mod plugin;
--- a/crates/kernel/src/round/mod.rs
+++ b/crates/kernel/src/round/mod.rs
@@ -39,7 +39,7 @@
 
 use crate::account::Book;
 use crate::key::Key;
-use crate::member::View;
+use crate::membership::View;
 use crate::message::{Aggregate, Broadcast, Message, Round, Run};
 use crate::settings::Settings;
 use crate::table::Table;
--- a/crates/kernel/src/round/tree.rs
+++ b/crates/kernel/src/round/tree.rs
@@ -10,7 +10,7 @@
 use std::cmp::Reverse;
 
 use crate::key::Key;
-use crate::member::View;
+use crate::membership::View;
 use crate::rendezvous::weight;
 
 /// Children of a node.
--- a/crates/router/src/instances.rs
+++ b/crates/router/src/instances.rs
@@ -12,7 +12,7 @@
 
 use dunlinward_kernel::event::Event;
 use dunlinward_kernel::key::Key;
-use dunlinward_kernel::member::Listed;
+use dunlinward_kernel::membership::Listed;
 use dunlinward_platform::instances::{Instance, List, Role, State};
 use dunlinward_wire::link;
 use rand::{Rng, SeedableRng};
--- a/crates/trial/examples/kernel-size/drive.rs
+++ b/crates/trial/examples/kernel-size/drive.rs
@@ -9,7 +9,7 @@
 use dunlinward_kernel::id::{Customer, Request, Service, Target};
 use dunlinward_kernel::kernel::Kernel;
 use dunlinward_kernel::key::Key;
-use dunlinward_kernel::member::Listed;
+use dunlinward_kernel::membership::Listed;
 use dunlinward_kernel::message::{
     Aggregate, Allocation, Backlog, Broadcast, Charge, Demand, Grant, Hold, Ledger, Message, Round,
     Run, Total,
--- a/crates/trial/examples/kernel-size/main.rs
+++ b/crates/trial/examples/kernel-size/main.rs
@@ -20,7 +20,7 @@
 
 use dunlinward_kernel::id::Target;
 use dunlinward_kernel::key::Key;
-use dunlinward_kernel::member::View;
+use dunlinward_kernel::membership::View;
 use dunlinward_kernel::message::{Message, Total};
 use dunlinward_kernel::round::tree::Tree;
 use dunlinward_kernel::table::Table;
--- a/crates/trial/src/fleet.rs
+++ b/crates/trial/src/fleet.rs
@@ -10,7 +10,7 @@
 use dunlinward_kernel::id::{Customer, Request, Service, Target};
 use dunlinward_kernel::kernel::Kernel;
 use dunlinward_kernel::key::Key;
-use dunlinward_kernel::member::Listed;
+use dunlinward_kernel::membership::Listed;
 use dunlinward_kernel::message::Message;
 use dunlinward_kernel::settings::Settings;
 use dunlinward_kernel::table::Table;
