--- a/crates/kernel/src/holder/mod.rs
+++ b/crates/kernel/src/holder/mod.rs
@@ -8,10 +8,10 @@
 //! customer in any case, so that a grant is never returned at once.
 //!
 //! Demand is reported to one owner first and to twice as many after every
-//! [`Settings::widen_interval`] in which requests have waited, up to [`MAX_OWNERS`]. Owners of
-//! targets with free slots come first, then those of targets in this router's failure
-//! domain. Demand is reported again when it differs much from the last report or is
-//! not granted.
+//! [`Settings::widen_interval`] in which requests have waited, up to [`MAX_OWNERS`].
+//! Owners of targets with free slots come first, then those of targets in this
+//! router's failure domain. Demand is reported again when it differs much from the
+//! last report or is not granted.
 
 mod demand;
 
@@ -33,8 +33,8 @@
 /// Owners to which new demand of a lane is reported first.
 const INITIAL_OWNERS: usize = 1;
 
-/// Factor on [`Settings::widen_interval`] while all targets are busy and some of this router's
-/// slots are in use.
+/// Factor on [`Settings::widen_interval`] while all targets are busy and some of this
+/// router's slots are in use.
 const BUSY_WIDEN_FACTOR: u32 = 10;
 
 /// Time without a grant after which demand is reported again: the report may have
--- a/crates/kernel/src/message.rs
+++ b/crates/kernel/src/message.rs
@@ -111,7 +111,8 @@
     pub cost: u64,
 }
 
-/// To an owner: all requests waiting at the sender, replacing its last report.
+/// To an owner: requests waiting at the sender that the owner may grant slots for,
+/// replacing the last report.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Demand {
     /// Increases with every report of this sender.
@@ -155,7 +156,7 @@
     pub unusable: bool,
 }
 
-/// From an owner: asks for a report of the held slots and for the unused ones.
+/// From an owner: a request to return unused slots and to report those held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Recall {
     /// The target.
