--- a/crates/kernel/src/event.rs
+++ b/crates/kernel/src/event.rs
@@ -111,6 +111,7 @@
     },
     /// The link to another router is lost.
     LinkLost(Key),
-    /// Stop accepting requests, finish running ones and return the held slots.
+    /// Stop accepting requests, finish the accepted ones, and hand over the held slots
+    /// and the charges.
     Drain,
 }
--- a/crates/kernel/src/membership.rs
+++ b/crates/kernel/src/membership.rs
@@ -220,7 +220,7 @@
             .map(|(key, _)| key)
     }
 
-    /// Live instances of a failure domain.
+    /// Live instances in a failure domain.
     pub fn live_in(&self, domain: Key) -> impl Iterator<Item = Key> {
         self.all()
             .filter(move |(_, member)| member.live() && member.domain == domain)
--- a/crates/kernel/src/owner/mod.rs
+++ b/crates/kernel/src/owner/mod.rs
@@ -11,9 +11,9 @@
 //! A router reports the total that it holds ([`Hold`]); the owner adds the grants
 //! that the router had not received when it sent the report. A lost grant is thus
 //! detected with the next report, at the latest after
-//! [`crate::settings::Settings::report_interval`] and [`GRANT_TIMEOUT`]. A new owner collects
-//! reports for [`crate::settings::Settings::takeover_delay`] before it grants; meanwhile
-//! routers continue to use the slots that they hold.
+//! [`crate::settings::Settings::report_interval`] and [`GRANT_TIMEOUT`]. A new owner
+//! collects reports for [`crate::settings::Settings::takeover_delay`] before it
+//! grants; meanwhile routers continue to use the slots that they hold.
 
 mod grant;
 
