--- a/crates/kernel/src/round/mod.rs
+++ b/crates/kernel/src/round/mod.rs
@@ -24,7 +24,7 @@
 //! The leading root (least key among the roots heard) lifts accounts by charges of
 //! its own: a customer that begins to wait is lifted to the least virtual time of
 //! those that were waiting already, and no waiting customer stays further behind
-//! the furthest than [`Settings::owed`]. So idleness earns nothing, and after a
+//! the furthest than [`Settings::max_lag_units`]. So idleness earns nothing, and after a
 //! partition what is owed is bounded.
 
 pub mod tally;
