--- a/crates/kernel/src/kernel/messages.rs
+++ b/crates/kernel/src/kernel/messages.rs
@@ -5,7 +5,7 @@
 use super::{Batch, Kernel};
 use crate::action::Action;
 use crate::key::Key;
-use crate::member::{Heard, Listed};
+use crate::membership::{Contact, Listed};
 use crate::message::{Grant, Hold, Message};
 use crate::request::State;
 use crate::round::Scope;
@@ -15,7 +15,7 @@
 
 impl Kernel {
     pub(super) fn apply_listing(&mut self, now: Instant, listed: &[Listed]) {
-        self.view.list(listed);
+        self.view.apply_list(listed);
         self.view.prune(now);
     }
 
@@ -27,13 +27,13 @@
         incarnation: u64,
         messages: Vec<Message>,
     ) {
-        match self.view.hear(now, from, domain, incarnation) {
-            Heard::Stale => {
+        match self.view.record_message(now, from, domain, incarnation) {
+            Contact::Stale => {
                 self.dropped.stale_messages += messages.len() as u64;
                 return;
             }
-            Heard::Restarted => self.discard_router(now, from),
-            Heard::Same | Heard::Back => {}
+            Contact::Restarted => self.discard_router(now, from),
+            Contact::Same | Contact::Back => {}
         }
         for message in messages {
             self.handle_message(now, from, message);
@@ -43,7 +43,7 @@
     /// Handles the restart of a router: its holdings ended with its earlier run, and as an
     /// owner it has lost the record of its grants.
     fn discard_router(&mut self, now: Instant, router: Key) {
-        self.owner.forget(router);
+        self.owner.remove_router(router);
         if let Some(table) = self.table.clone() {
             self.holder
                 .owner_restarted(now, &table, router, &mut self.outbox);
@@ -55,13 +55,13 @@
             return;
         };
         match message {
-            Message::Down(down) => {
+            Message::Broadcast(down) => {
                 self.with_rounds(now, &table, |rounds, scope| {
                     rounds.down(now, from, down, scope);
                 });
                 self.owner_orders.clear();
             }
-            Message::Up(up) => {
+            Message::Aggregate(up) => {
                 self.with_rounds(now, &table, |rounds, scope| {
                     rounds.up(from, &up, scope);
                 });
@@ -74,10 +74,10 @@
             Message::Probe => {
                 self.with_rounds(now, &table, |rounds, scope| rounds.probed(from, scope));
             }
-            Message::Want(want) => self.owner.want(&table, from, &want),
+            Message::Demand(demand) => self.owner.record_demand(&table, from, &demand),
             Message::Grant(grant) => self.apply_grant(now, &table, from, &grant),
             Message::Hold(hold) => match table.target_by_key(hold.target) {
-                Some(target) => self.owner.hold(now, from, target, &hold),
+                Some(target) => self.owner.record_hold(now, from, target, &hold),
                 None => self.dropped.unknown_names += 1,
             },
             Message::Recall(recall) => {
@@ -87,7 +87,7 @@
                 self.holder
                     .recall(now, &table, recall, from, &mut self.outbox);
             }
-            Message::Leaving => self.view.leave(from),
+            Message::Leaving => self.view.mark_leaving(from),
         }
     }
 
@@ -127,7 +127,7 @@
             table,
             view: &mut self.view,
             book: &mut self.book,
-            spare: self.owner.spare(now, table),
+            spare: self.owner.spare_targets(now, table),
             outbox: &mut self.outbox,
         };
         call(&mut self.rounds, &mut scope);
@@ -155,7 +155,7 @@
                         .first_by_class()
                         .any(|head| match self.requests.get(&head) {
                             Some(State::Waiting(request)) => {
-                                now.since(request.arrived) >= self.settings.round
+                                now.since(request.arrived) >= self.settings.round_interval
                             }
                             _ => false,
                         });
@@ -189,11 +189,11 @@
     }
 
     pub(super) fn flush_batches(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let linger = self.settings.linger;
+        let batch_delay = self.settings.batch_delay;
         let due: Vec<Key> = self
             .batches
             .iter()
-            .filter(|(_, batch)| now >= batch.since + linger)
+            .filter(|(_, batch)| now >= batch.since + batch_delay)
             .map(|(to, _)| *to)
             .collect();
         for to in due {
@@ -211,7 +211,7 @@
             return;
         }
         self.draining = Some(now);
-        self.view.leave(self.own_key);
+        self.view.mark_leaving(self.own_key);
         let others: Vec<Key> = self.view.live().collect();
         for other in others {
             self.outbox.push((other, Message::Leaving));
--- a/crates/kernel/src/kernel/mod.rs
+++ b/crates/kernel/src/kernel/mod.rs
@@ -21,7 +21,7 @@
 use crate::holder::Holder;
 use crate::id::{Customer, Pool, Request, Service, Target};
 use crate::key::Key;
-use crate::member::View;
+use crate::membership::View;
 use crate::message::Message;
 use crate::owner::Owner;
 use crate::plugin::{self, Placement};
@@ -94,7 +94,7 @@
         let own_key = Key::new(&settings.name);
         let mut view = View::new();
         let domain = Key::new(&settings.domain);
-        view.hear(now, own_key, domain, settings.incarnation);
+        view.record_message(now, own_key, domain, settings.incarnation);
         Self {
             own_key,
             table: None,
@@ -134,7 +134,7 @@
             Event::Configured(table) => self.configure(table),
             Event::Listed(listed) => self.apply_listing(now, &listed),
             Event::Arrived(arrival) => self.handle_arrival(now, arrival, actions),
-            Event::Left(request) => self.cancel_request(now, request, actions),
+            Event::CallerLeft(request) => self.cancel_request(now, request, actions),
             Event::Progressed {
                 request,
                 attempt,
@@ -169,10 +169,10 @@
                 .then(|| self.rounds.wake_at(&self.settings)),
             self.deadlines.first().map(|(at, _)| *at),
             self.backoffs.first().map(|(at, _)| *at),
-            self.owner.opens_after(self.sweep_at),
+            self.owner.next_grant_after(self.sweep_at),
             self.batches
                 .values()
-                .map(|batch| batch.since + self.settings.linger)
+                .map(|batch| batch.since + self.settings.batch_delay)
                 .min(),
             self.needs_sweep().then_some(self.sweep_at),
         ];
@@ -280,7 +280,7 @@
         for _ in 0..MAX_SETTLE_PASSES {
             self.dispatch_waiting(now, &table, actions);
             self.owner
-                .fill(now, &table, &mut self.book, &mut self.outbox);
+                .grant_slots(now, &table, &mut self.book, &mut self.outbox);
             self.send_wants(now, &table);
             if !self.deliver_outbox(now) {
                 break;
--- a/crates/kernel/src/kernel/requests.rs
+++ b/crates/kernel/src/kernel/requests.rs
@@ -135,7 +135,7 @@
         let pool = self.pool(service);
         self.book.charge(pool, customer, meter.admit());
         self.holder.occupy(target, customer);
-        self.holder.note_sent(now, lane(arrival));
+        self.holder.record_dispatch(now, lane(arrival));
         let sent = waiting.send(now, target, meter);
         actions.push(Action::Dispatch {
             request,
@@ -160,7 +160,9 @@
 
     /// Amount reserved for a request before it has used any service, in units.
     pub(super) fn reservation(&self, arrival: &Arrival) -> u64 {
-        self.estimate(arrival).saturating_mul(self.settings.reserve) / 1_000
+        self.estimate(arrival)
+            .saturating_mul(self.settings.reserve_permille)
+            / 1_000
     }
 
     pub(super) fn record_progress(&mut self, request: Request, attempt: u32, units: u64) {
@@ -215,7 +217,7 @@
             return;
         }
         match outcome {
-            Outcome::Whole { units } => self.complete(now, request, units, actions),
+            Outcome::Completed { units } => self.complete(now, request, units, actions),
             Outcome::Failed {
                 verdict,
                 failure,
--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -81,10 +81,10 @@
             }
             self.owners.insert(target, owner);
             self.holder
-                .move_owner(now, table, target, owner, &mut self.outbox);
+                .set_owner(now, table, target, owner, &mut self.outbox);
         }
         self.owner
-            .assign(now + self.settings.takeover, &local_targets);
+            .assign(now + self.settings.takeover_delay, &local_targets);
         let suspects: Vec<Key> = self
             .view
             .all()
@@ -92,7 +92,7 @@
             .map(|(key, _)| key)
             .collect();
         for key in suspects {
-            self.owner.forget(key);
+            self.owner.remove_router(key);
         }
     }
 
@@ -109,7 +109,8 @@
             // The remainder goes to different routers from one target to the next.
             let extra = usize::from((place + at) % count < slots % count);
             let part = u32::try_from(slots / count + extra).unwrap_or(0);
-            self.holder.fix(now, Target::new(at), self.own_key, part);
+            self.holder
+                .set_fixed(now, Target::new(at), self.own_key, part);
         }
     }
 
@@ -117,7 +118,7 @@
     fn assign_all_slots(&mut self, now: Instant, table: &Arc<Table>) {
         for at in 0..table.targets.len() {
             self.holder
-                .fix(now, Target::new(at), self.own_key, u32::MAX / 2);
+                .set_fixed(now, Target::new(at), self.own_key, u32::MAX / 2);
         }
     }
 
@@ -236,7 +237,7 @@
             .targets
             .iter()
             .copied()
-            .max_by_key(|target| (placement.worth)(&self.candidate(table, selection, *target)));
+            .max_by_key(|target| (placement.score)(&self.candidate(table, selection, *target)));
         best.unwrap_or(first)
     }
 
@@ -254,8 +255,8 @@
                 Admission::Static | Admission::Owner => holding.free(),
             }),
             slots: row.slots,
-            cached: 0,
-            near: *table.domain_name(row.domain) == self.settings.domain,
+            cached_blocks: 0,
+            same_domain: *table.domain_name(row.domain) == self.settings.domain,
             draw: u32::from_le_bytes([draw[0], draw[1], draw[2], draw[3]]),
         }
     }
@@ -272,7 +273,7 @@
                 holding.recalled()
                     || !row.accepts_work()
                     || self.health.is_ejected(now, *target)
-                    || now.since(holding.idle_since) >= self.settings.hold
+                    || now.since(holding.idle_since) >= self.settings.idle_timeout
                     || row
                         .services
                         .iter()
@@ -282,7 +283,7 @@
             .collect();
         for target in idle {
             let unusable = self.health.is_ejected(now, target);
-            self.holder.mark(target, unusable);
+            self.holder.set_unusable(target, unusable);
             self.holder.release(now, table, target, &mut self.outbox);
         }
     }
@@ -294,16 +295,18 @@
         }
         self.send_wants_at = now + WANT_INTERVAL;
         let lanes: Vec<Lane> = self.queue.lanes().map(|(lane, _)| lane).collect();
-        self.holder.note_waiting(now, &lanes);
+        self.holder.record_waiting(now, &lanes);
         let mut wanted: BTreeMap<Key, Vec<Demand>> = BTreeMap::new();
-        let mut interval = self.settings.retell;
+        let mut interval = self.settings.demand_interval;
         for lane in lanes {
             let order = self.owner_order(table, lane);
             let saturated = self.saturated(table, lane);
             if !saturated {
                 interval = WANT_INTERVAL;
             }
-            let width = self.holder.width(now, lane, &self.settings, saturated);
+            let width = self
+                .holder
+                .owner_count(now, lane, &self.settings, saturated);
             for demand in self.demands(lane) {
                 let width = self.fan_out(table, &demand, width, saturated);
                 for owner in order.iter().take(width) {
@@ -311,12 +314,12 @@
                 }
             }
         }
-        for owner in self.holder.told() {
+        for owner in self.holder.reported_owners() {
             wanted.entry(owner).or_default();
         }
         for (owner, demands) in wanted {
             self.holder
-                .tell(now, table, interval, owner, &demands, &mut self.outbox);
+                .report_demand(now, table, interval, owner, &demands, &mut self.outbox);
         }
     }
 
@@ -336,14 +339,14 @@
     /// demand goes to few owners.
     fn fan_out(&self, table: &Table, demand: &Demand, width: usize, saturated: bool) -> usize {
         let width = if self.lags(table, demand) {
-            holder::WIDTH
+            holder::MAX_OWNERS
         } else {
             width
         };
         if !saturated {
             return width;
         }
-        let count = usize::try_from(demand.count).unwrap_or(holder::WIDTH);
+        let count = usize::try_from(demand.count).unwrap_or(holder::MAX_OWNERS);
         width.min(count.saturating_mul(MAX_OWNERS_PER_REQUEST))
     }
 
@@ -431,6 +434,6 @@
         }
         self.sweep_at = now + SWEEP_INTERVAL;
         self.holder
-            .restate(now, table, &self.settings, &mut self.outbox);
+            .repeat_reports(now, table, &self.settings, &mut self.outbox);
     }
 }
--- a/crates/kernel/src/round/mod.rs
+++ b/crates/kernel/src/round/mod.rs
@@ -1,20 +1,20 @@
 //! Rounds: how the fleet agrees on what each customer has received.
 //!
 //! In every failure domain the root of a [`tree::Tree`] starts a round at set
-//! times by sending [`Down`] to its children, who pass it on at once. Each instance
-//! answers [`Up`] shortly before the next round is due, the deeper it stands the
+//! times by sending [`Broadcast`] to its children, who pass it on at once. Each instance
+//! answers [`Aggregate`] shortly before the next round is due, the deeper it stands the
 //! earlier, so that its parent can add the answer to its own. What a round tells is
 //! thus a few steps of 30 ms old, and the accounts are never older than one
 //! period and these steps, however many instances there are.
 //!
 //! Amounts are counted exactly once. An instance keeps what it has charged until
 //! it learns that it was counted, and a node keeps nothing for its children. The
-//! next `Down` names every instance whose answer did not come in time; an amount
+//! next `Broadcast` names every instance whose answer did not come in time; an amount
 //! was counted if and only if neither the instance nor any on its path from the
 //! root is among them. Otherwise the instance sends it again in the next round.
 //! When a root dies before it has told the result, nobody has seen a total that
 //! includes the round, so sending again is right as well. The one gap is a root
-//! that dies while its `Down` is under way, a matter of milliseconds.
+//! that dies while its `Broadcast` is under way, a matter of milliseconds.
 //!
 //! Roots tell each other their totals after each round ([`crate::message::Total`]), and tell their
 //! deputy everything, so that the next root starts with all runs known. The same
@@ -24,7 +24,7 @@
 //! The leading root (least key among the roots heard) lifts accounts by charges of
 //! its own: a customer that begins to wait is lifted to the least virtual time of
 //! those that were waiting already, and no waiting customer stays further behind
-//! the furthest than [`Settings::owed`]. So idleness earns nothing, and after a
+//! the furthest than [`Settings::max_lag_units`]. So idleness earns nothing, and after a
 //! partition what is owed is bounded.
 
 pub mod tally;
@@ -39,8 +39,8 @@
 
 use crate::account::Book;
 use crate::key::Key;
-use crate::member::View;
-use crate::message::{Down, Message, Round, Run, Up};
+use crate::membership::View;
+use crate::message::{Aggregate, Broadcast, Message, Round, Run};
 use crate::settings::Settings;
 use crate::table::Table;
 use crate::time::Instant;
@@ -184,7 +184,7 @@
     #[must_use]
     pub fn wake_at(&self, settings: &Settings) -> Instant {
         let silent = self.heard + silence(settings);
-        let settled = self.started + settings.round;
+        let settled = self.started + settings.round_interval;
         let due = match (self.was_root, self.root_seen) {
             (true, _) => self.next,
             // Nobody has told a round yet: perhaps this instance is to begin.
@@ -211,7 +211,7 @@
         }
         let tree = Tree::new(scope.view, self.domain);
         // A router that has just started may not have seen the list of instances yet.
-        let early = now.since(self.started) < scope.settings.round;
+        let early = now.since(self.started) < scope.settings.round_interval;
         if tree.root() == Some(self.me) && !early {
             if !self.was_root {
                 self.begin_root(now, scope);
@@ -231,19 +231,19 @@
     fn doubt_root(&mut self, now: Instant, scope: &mut Scope<'_>, tree: &Tree) {
         if let Some(root) = tree.root() {
             scope.view.suspect(now, root);
-            scope.outbox.push((root, Message::Up(self.knock())));
+            scope.outbox.push((root, Message::Aggregate(self.knock())));
         }
         let next = Tree::new(scope.view, self.domain).root();
         if let Some(next) = next.filter(|next| *next != self.me) {
-            scope.outbox.push((next, Message::Up(self.knock())));
+            scope.outbox.push((next, Message::Aggregate(self.knock())));
         }
         self.heard = now;
         self.next = now;
     }
 
     /// An answer to no round, which only shows that the sender is alive.
-    fn knock(&self) -> Up {
-        Up {
+    fn knock(&self) -> Aggregate {
+        Aggregate {
             round: Round {
                 run: self.run,
                 number: 0,
@@ -256,8 +256,8 @@
 
     /// A root that had given this instance up is there: answer that we are too.
     pub fn probed(&mut self, from: Key, scope: &mut Scope<'_>) {
-        scope.view.clear(from);
-        scope.outbox.push((from, Message::Up(self.knock())));
+        scope.view.clear_suspicion(from);
+        scope.outbox.push((from, Message::Aggregate(self.knock())));
     }
 
     /// Passes a round on to the children and opens it here.
@@ -267,7 +267,7 @@
         scope: &mut Scope<'_>,
         tree: &Tree,
         parent: Option<Key>,
-        mut down: Down,
+        mut down: Broadcast,
     ) {
         let path = down.path.clone();
         down.path.push(self.me);
@@ -277,16 +277,20 @@
             .filter(|child| !down.path.contains(child))
             .collect();
         for child in &children {
-            scope.outbox.push((*child, Message::Down(down.clone())));
+            scope
+                .outbox
+                .push((*child, Message::Broadcast(down.clone())));
         }
         // The root closes when its next round is due, others a step before their parent.
         let depth = u32::try_from(path.len()).unwrap_or(u32::MAX);
-        let ahead = PATIENCE.saturating_mul(depth).min(scope.settings.round);
+        let ahead = PATIENCE
+            .saturating_mul(depth)
+            .min(scope.settings.round_interval);
         self.open = Some(Open {
             round: down.round,
             parent,
             awaited: children.into_iter().collect(),
-            close_at: now + scope.settings.round - ahead,
+            close_at: now + scope.settings.round_interval - ahead,
             missed: Vec::new(),
             amounts: BTreeMap::new(),
             waiting: BTreeMap::new(),
@@ -299,11 +303,11 @@
     }
 
     /// A parent starts a round.
-    pub fn down(&mut self, now: Instant, from: Key, down: Down, scope: &mut Scope<'_>) {
+    pub fn down(&mut self, now: Instant, from: Key, down: Broadcast, scope: &mut Scope<'_>) {
         for key in &down.path {
-            scope.view.clear(*key);
+            scope.view.clear_suspicion(*key);
         }
-        scope.view.clear(from);
+        scope.view.clear_suspicion(from);
         let tree = Tree::new(scope.view, self.domain);
         let mine = tree.root() == Some(self.me);
         let seen = self
@@ -328,7 +332,7 @@
     }
 
     /// Settles the last answer: it counted, or it goes again.
-    fn confirm(&mut self, down: &Down, scope: &mut Scope<'_>) {
+    fn confirm(&mut self, down: &Broadcast, scope: &mut Scope<'_>) {
         let Some(answer) = self.answer.take() else {
             return;
         };
@@ -355,18 +359,18 @@
             if suspects.contains(&key) {
                 scope.view.suspect(now, key);
             } else {
-                scope.view.clear(key);
+                scope.view.clear_suspicion(key);
             }
         }
     }
 
     /// A child answers.
-    pub fn up(&mut self, from: Key, up: &Up, scope: &mut Scope<'_>) {
+    pub fn up(&mut self, from: Key, up: &Aggregate, scope: &mut Scope<'_>) {
         let Some(open) = self.open.as_mut().filter(|open| open.round == up.round) else {
             // Late, or a knock: alive all the same.
             if self.was_root {
                 self.misses.remove(&from);
-                scope.view.clear(from);
+                scope.view.clear_suspicion(from);
             }
             return;
         };
@@ -387,13 +391,13 @@
         open.spare.append(&mut scope.spare);
         book::take(scope.book, scope.table, &mut open);
         if let Some(parent) = open.parent {
-            let up = Up {
+            let up = Aggregate {
                 round: open.round,
                 missed: open.missed,
                 charges: book::ledgers(scope.table, &open.amounts, &open.waiting),
                 spare: limit(open.spare),
             };
-            scope.outbox.push((parent, Message::Up(up)));
+            scope.outbox.push((parent, Message::Aggregate(up)));
             return;
         }
         self.count(now, scope, open);
@@ -402,7 +406,7 @@
 
 /// How long no round may start before the root is doubted.
 fn silence(settings: &Settings) -> Duration {
-    settings.round * (settings.missed_rounds + 1)
+    settings.round_interval * (settings.missed_rounds + 1)
 }
 
 fn limit(mut spare: Vec<Key>) -> Vec<Key> {
--- a/crates/trial/examples/kernel-size/drive.rs
+++ b/crates/trial/examples/kernel-size/drive.rs
@@ -9,9 +9,10 @@
 use dunlinward_kernel::id::{Customer, Request, Service, Target};
 use dunlinward_kernel::kernel::Kernel;
 use dunlinward_kernel::key::Key;
-use dunlinward_kernel::member::Listed;
+use dunlinward_kernel::membership::Listed;
 use dunlinward_kernel::message::{
-    Ask, Charge, Down, Grant, Hold, Ledger, Message, Part, Round, Run, Total, Up, Want,
+    Aggregate, Allocation, Backlog, Broadcast, Charge, Demand, Grant, Hold, Ledger, Message, Round,
+    Run, Total,
 };
 use dunlinward_kernel::round::tree::Tree;
 use dunlinward_kernel::settings::Settings;
@@ -140,7 +141,7 @@
         match action {
             Action::Send { to, messages } => {
                 for message in messages {
-                    if let Message::Down(down) = message {
+                    if let Message::Broadcast(down) = message {
                         self.asked.push((to, down.round));
                     }
                 }
@@ -201,12 +202,12 @@
             return;
         }
         let down = self.spread(root);
-        self.receive("down", root, Message::Down(down));
+        self.receive("down", root, Message::Broadcast(down));
     }
 
     /// A round as its root begins it.
-    pub(crate) fn spread(&self, root: usize) -> Down {
-        Down {
+    pub(crate) fn spread(&self, root: usize) -> Broadcast {
+        Broadcast {
             round: self.round(root),
             path: vec![Key::new(&Trial::router(root))],
             missed: Vec::new(),
@@ -221,14 +222,14 @@
         for (child, round) in std::mem::take(&mut self.asked) {
             let up = self.answer(round);
             if let Some(child) = self.number(child) {
-                self.receive("up", child, Message::Up(up));
+                self.receive("up", child, Message::Aggregate(up));
             }
         }
     }
 
     /// An answer to a round from a child.
-    pub(crate) fn answer(&self, round: Round) -> Up {
-        Up {
+    pub(crate) fn answer(&self, round: Round) -> Aggregate {
+        Aggregate {
             round,
             missed: Vec::new(),
             charges: self.ledgers(self.told()),
@@ -305,7 +306,7 @@
             return;
         }
         let want = self.want(10);
-        self.receive("want", from, Message::Want(want));
+        self.receive("want", from, Message::Demand(want));
         if let Some(target) = self.owned(at) {
             let hold = self.hold(target);
             self.receive("hold", from, Message::Hold(hold));
@@ -313,18 +314,18 @@
     }
 
     /// What another entry wants for at most some customers.
-    pub(crate) fn want(&self, most: usize) -> Want {
+    pub(crate) fn want(&self, most: usize) -> Demand {
         let waiting = 0..self.trial.backlogged.min(most);
-        let asks = waiting.map(|customer| Ask {
+        let asks = waiting.map(|customer| Backlog {
             service: self.table.services[self.service(customer).row()].key,
             model: None,
             customer: self.table.customers[customer].key,
             count: 2,
             cost: 150,
         });
-        Want {
+        Demand {
             stamp: self.beat,
-            asks: asks.collect(),
+            backlogs: asks.collect(),
         }
     }
 
@@ -344,7 +345,7 @@
         Grant {
             target: self.table.targets[target.row()].key,
             sequence: self.beat,
-            parts: vec![Part {
+            allocations: vec![Allocation {
                 customer: self.table.customers[customer].key,
                 count: 1,
             }],
@@ -422,7 +423,7 @@
         let event = Event::Ended {
             request,
             attempt,
-            outcome: Outcome::Whole { units: 150 },
+            outcome: Outcome::Completed { units: 150 },
         };
         self.step("end", event);
         if let Some(customer) = self.customers.remove(&request)
--- a/crates/trial/examples/kernel-size/main.rs
+++ b/crates/trial/examples/kernel-size/main.rs
@@ -20,7 +20,7 @@
 
 use dunlinward_kernel::id::Target;
 use dunlinward_kernel::key::Key;
-use dunlinward_kernel::member::View;
+use dunlinward_kernel::membership::View;
 use dunlinward_kernel::message::{Message, Total};
 use dunlinward_kernel::round::tree::Tree;
 use dunlinward_kernel::table::Table;
@@ -106,11 +106,11 @@
         ..drive.total(0)
     };
     let told = [
-        ("down", Message::Down(drive.spread(0))),
-        ("up", Message::Up(drive.answer(drive.round(0)))),
+        ("down", Message::Broadcast(drive.spread(0))),
+        ("up", Message::Aggregate(drive.answer(drive.round(0)))),
         ("total", Message::Total(drive.total(0))),
         ("brief, one run", Message::Total(brief)),
-        ("want", Message::Want(drive.want(1))),
+        ("want", Message::Demand(drive.want(1))),
         ("grant", Message::Grant(drive.grants(0, Target::new(0)))),
         ("hold", Message::Hold(drive.hold(0))),
     ];
@@ -123,7 +123,7 @@
 /// A root, a node with children and one without, each by its number.
 fn roles(trial: &Trial) -> Vec<(&'static str, usize)> {
     let mut view = View::new();
-    view.list(&listed(trial));
+    view.apply_list(&listed(trial));
     let tree = Tree::new(&view, Key::new(&trial.domain(0)));
     let number = |key: Key| (0..trial.routers).find(|at| Key::new(&Trial::router(*at)) == key);
     let root = tree.root().and_then(number);
--- a/crates/trial/src/fleet.rs
+++ b/crates/trial/src/fleet.rs
@@ -10,7 +10,7 @@
 use dunlinward_kernel::id::{Customer, Request, Service, Target};
 use dunlinward_kernel::kernel::Kernel;
 use dunlinward_kernel::key::Key;
-use dunlinward_kernel::member::Listed;
+use dunlinward_kernel::membership::Listed;
 use dunlinward_kernel::message::Message;
 use dunlinward_kernel::settings::Settings;
 use dunlinward_kernel::table::Table;
@@ -193,7 +193,7 @@
             .with_incarnation(incarnation)
             .with_admission(self.trial.admission)
             .with_seed(self.trial.seed)
-            .with_round(self.trial.round);
+            .with_round_interval(self.trial.round);
         Kernel::new(settings, self.now)
     }
 
@@ -574,7 +574,7 @@
         self.meter.whole += 1;
         self.inject.note_whole(row.request);
         self.end_call(row.request);
-        let outcome = Outcome::Whole {
+        let outcome = Outcome::Completed {
             units: call.job.cost,
         };
         let event = Event::Ended {
@@ -776,11 +776,11 @@
 /// The name of a kind of message.
 const fn kind(message: &Message) -> &'static str {
     match message {
-        Message::Down(_) => "down",
-        Message::Up(_) => "up",
+        Message::Broadcast(_) => "down",
+        Message::Aggregate(_) => "up",
         Message::Total(_) => "total",
         Message::Probe => "probe",
-        Message::Want(_) => "want",
+        Message::Demand(_) => "want",
         Message::Grant(_) => "grant",
         Message::Hold(_) => "hold",
         Message::Recall(_) => "recall",
