--- a/crates/kernel/src/round/book.rs
+++ b/crates/kernel/src/round/ledger.rs
@@ -1,26 +1,26 @@
-//! Between accounts and messages: what goes into a round and what comes of it.
+//! Conversion between accounts and the ledgers of round messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::tally::Slot;
-use super::{Open, ROTATION, Scope};
+use super::{Open, ROTATION_ROUNDS, Scope};
 use crate::account::{Book, SCALE};
 use crate::key::Key;
 use crate::message::{Charge, Ledger};
 use crate::table::Table;
 
-/// Whether an account that does not wait is told in a round of this number.
+/// Whether an account that is not waiting is sent in the round of this number.
 pub fn rotates(table: &Table, slot: Slot, number: u64) -> bool {
     let key = table.customers[slot.1.row()].key;
-    u64::from(key.number()) % ROTATION == number % ROTATION
+    u64::from(key.number()) % ROTATION_ROUNDS == number % ROTATION_ROUNDS
 }
 
-/// Moves what was charged here into an open round.
-pub fn take(book: &mut Book, table: &Table, open: &mut Open) {
+/// Moves the charges of this instance into an open round.
+pub fn collect(book: &mut Book, table: &Table, open: &mut Open) {
     let number = open.round.number;
     for (pool, customer, account) in book.all_mut() {
         let slot = (pool, customer);
-        // Short waits happen to everybody; only who waits long is behind.
+        // Short waits are normal; only a customer that has waited a full round is behind.
         let waits = account.overdue;
         if waits {
             *open.waiting.entry(slot).or_default() += 1;
@@ -44,7 +44,7 @@
     }
 }
 
-/// Settles what was sent: it is in the totals, or goes again.
+/// Settles the sent charges: moves them to the totals if counted, else to be sent again.
 pub fn settle(book: &mut Book, counted: bool) {
     for (_, _, account) in book.all_mut() {
         if account.sent == 0 {
@@ -59,14 +59,14 @@
     }
 }
 
-/// Drops what was sent, when its sum has been added to the totals here.
-pub fn settle_silently(book: &mut Book) {
+/// Clears the sent charges of the root, whose sum it has already added to the totals.
+pub fn clear_sent(book: &mut Book) {
     for (_, _, account) in book.all_mut() {
         account.sent = 0;
     }
 }
 
-/// Takes the totals of a round.
+/// Replaces totals and waiting counts by those of a round.
 pub fn apply(scope: &mut Scope<'_>, totals: &[Ledger]) {
     scope.book.clear_waiting();
     scope.book.age_provisional();
@@ -76,7 +76,7 @@
     }
 }
 
-/// The totals to tell in a round: waiting accounts, others in rotation.
+/// Totals to send in a round: all waiting accounts, the others in rotation.
 pub fn totals(scope: &Scope<'_>, number: u64) -> Vec<Ledger> {
     let mut amounts = BTreeMap::new();
     let mut waiting = BTreeMap::new();
@@ -93,15 +93,15 @@
     ledgers(scope.table, &amounts, &waiting)
 }
 
-/// All totals told so far.
-pub fn inherit(book: &Book) -> BTreeMap<Slot, i64> {
+/// All nonzero totals known here.
+pub fn nonzero_totals(book: &Book) -> BTreeMap<Slot, i64> {
     book.all()
         .filter(|(_, _, account)| account.fleet != 0)
         .map(|(pool, customer, account)| ((pool, customer), account.fleet))
         .collect()
 }
 
-/// Amounts as messages, by pool; waiting accounts are named even without amount.
+/// Amounts as ledgers, by pool; waiting accounts are included even without an amount.
 pub fn ledgers(
     table: &Table,
     amounts: &BTreeMap<Slot, i64>,
@@ -127,7 +127,7 @@
     ledgers
 }
 
-/// Charges of messages with the accounts they name here; unknown names are passed over.
+/// Charges of ledgers with the local ids of their accounts; unknown keys are skipped.
 pub fn slots<'a>(
     table: &'a Table,
     ledgers: &'a [Ledger],
@@ -145,13 +145,13 @@
     table.customer_by_key(key)
 }
 
-/// What the leading root adds to accounts, in units: see the head of [`super`].
-pub fn lifts(
+/// Amounts, in units, by which the leading root raises accounts; see [`super`].
+pub fn raises(
     scope: &Scope<'_>,
     waiting: &BTreeMap<Slot, u32>,
     before: &BTreeMap<Slot, u64>,
 ) -> Vec<(Slot, i64)> {
-    let mut lifts = Vec::new();
+    let mut raises = Vec::new();
     let owed = i64::try_from(scope.settings.owed)
         .unwrap_or(i64::MAX)
         .saturating_mul(SCALE);
@@ -170,8 +170,8 @@
         let short = floor.saturating_sub(time(slot));
         if short > 0 {
             let share = i64::try_from(scope.table.share(slot.1)).unwrap_or(i64::MAX);
-            lifts.push((*slot, short.saturating_mul(share) / SCALE));
+            raises.push((*slot, short.saturating_mul(share) / SCALE));
         }
     }
-    lifts
+    raises
 }
--- a/crates/kernel/src/round/mod.rs
+++ b/crates/kernel/src/round/mod.rs
@@ -1,36 +1,37 @@
-//! Rounds: how the fleet agrees on what each customer has received.
+//! Rounds: periodic aggregation of every customer's received service over the fleet.
 //!
-//! In every failure domain the root of a [`tree::Tree`] starts a round at set
-//! times by sending [`Down`] to its children, who pass it on at once. Each instance
-//! answers [`Up`] shortly before the next round is due, the deeper it stands the
-//! earlier, so that its parent can add the answer to its own. What a round tells is
-//! thus a few steps of 30 ms old, and the accounts are never older than one
-//! period and these steps, however many instances there are.
+//! In every failure domain the root of a [`tree::Tree`] starts a round once per
+//! period by sending [`Down`] to its children, which forward it at once. Each
+//! instance answers with [`Up`] shortly before the next round is due, 30 ms earlier
+//! per level of depth, so that its parent can add the answer to its own. Reported
+//! figures are thus a few such steps old, and accounts are at most one period and
+//! these steps old, regardless of the number of instances.
 //!
 //! Amounts are counted exactly once. An instance keeps what it has charged until
 //! it learns that it was counted, and a node keeps nothing for its children. The
-//! next `Down` names every instance whose answer did not come in time; an amount
-//! was counted if and only if neither the instance nor any on its path from the
-//! root is among them. Otherwise the instance sends it again in the next round.
-//! When a root dies before it has told the result, nobody has seen a total that
-//! includes the round, so sending again is right as well. The one gap is a root
-//! that dies while its `Down` is under way, a matter of milliseconds.
+//! next `Down` names every instance whose answer did not arrive in time; an amount
+//! was counted if and only if neither the instance nor any other on its path from
+//! the root is among them. Otherwise the instance sends it again in the next round.
+//! If a root fails before it has sent the result, no instance has seen a total that
+//! includes the round, so sending again is correct in that case too. The one
+//! exception is a root that fails while its `Down` is in transit, which takes
+//! milliseconds.
 //!
-//! Roots tell each other their totals after each round ([`crate::message::Total`]), and tell their
-//! deputy everything, so that the next root starts with all runs known. The same
-//! messages carry who waits, who is suspected, which targets have free slots, and
-//! the accepted revision.
+//! Roots send each other their totals after each round ([`crate::message::Total`]),
+//! and replicate all of them to a deputy, so that the next root starts with every
+//! run known. The same messages carry the waiting customers, the suspected
+//! instances, the targets with free slots, and the accepted revision.
 //!
-//! The leading root (least key among the roots heard) lifts accounts by charges of
-//! its own: a customer that begins to wait is lifted to the least virtual time of
-//! those that were waiting already, and no waiting customer stays further behind
-//! the furthest than [`Settings::owed`]. So idleness earns nothing, and after a
-//! partition what is owed is bounded.
+//! The leading root (least key among the roots heard recently) raises accounts by
+//! charges of its own: a customer that begins to wait is raised to the least virtual
+//! time of those that were already waiting, and no waiting customer stays further
+//! behind the most advanced one than [`Settings::owed`]. Idle time therefore earns
+//! no credit, and the debt after a network partition is bounded.
 
 pub mod tally;
 pub mod tree;
 
-mod book;
+mod ledger;
 mod peers;
 mod root;
 
@@ -48,43 +49,44 @@
 use tree::Tree;
 
 /// How much earlier an instance answers than its parent.
-const PATIENCE: Duration = Duration::from_millis(30);
+const ANSWER_LEAD: Duration = Duration::from_millis(30);
 
-/// Rounds for which those missed are named, so that an instance may lose as many less
-/// one and still learn what became of its answer.
-const NAMED: usize = 4;
+/// Rounds whose missed instances are listed in each `Down`. An instance may lose one round
+/// less than this in a row and still learn whether its answer was counted.
+const MISSED_ROUNDS_LISTED: usize = 4;
 
-/// Rounds after which a customer without a report counts as idle: reports may be lost.
-const IDLE: u64 = 4;
+/// Rounds without a report after which a customer counts as idle. More than one, since
+/// reports may be lost.
+const IDLE_AFTER_ROUNDS: u64 = 4;
 
-/// Rounds over which accounts that do not wait are repeated once.
-const ROTATION: u64 = 16;
+/// Rounds within which every account that is not waiting is sent once.
+const ROTATION_ROUNDS: u64 = 16;
 
-/// Targets with free slots that an answer names at most.
-const SPARE_LIMIT: usize = 16;
+/// Greatest number of targets with free slots listed in an answer.
+const MAX_SPARE_TARGETS: usize = 16;
 
-/// What rounds may read and change of the kernel.
+/// Kernel state that rounds read and change.
 pub struct Scope<'a> {
-    /// Settings.
+    /// Settings of this router.
     pub settings: &'a Settings,
-    /// Configuration.
+    /// Accepted configuration.
     pub table: &'a Table,
-    /// Instances.
+    /// Known instances.
     pub view: &'a mut View,
-    /// Accounts.
+    /// Service accounts.
     pub book: &'a mut Book,
-    /// Targets of this owner with free slots.
+    /// Targets owned by this instance that have free slots.
     pub spare: Vec<Key>,
-    /// Where messages go.
+    /// Messages to send, with their recipients.
     pub outbox: &'a mut Vec<(Key, Message)>,
 }
 
-/// A round being answered.
+/// A round that this instance has not yet answered.
 #[derive(Clone, Debug)]
 struct Open {
     round: Round,
     parent: Option<Key>,
-    awaited: BTreeSet<Key>,
+    pending: BTreeSet<Key>,
     close_at: Instant,
     missed: Vec<Key>,
     amounts: BTreeMap<Slot, i64>,
@@ -92,17 +94,17 @@
     spare: Vec<Key>,
 }
 
-/// An answer of which it is not yet known whether it counted.
+/// An answer that is not yet known to have been counted.
 #[derive(Clone, Debug)]
 struct Answer {
     round: Round,
     path: Vec<Key>,
 }
 
-/// The rounds of one instance.
+/// Round state of one instance.
 #[derive(Debug)]
 pub struct Rounds {
-    me: Key,
+    own_key: Key,
     domain: Key,
     run: Run,
     number: u64,
@@ -112,33 +114,33 @@
     heard: Instant,
     next: Instant,
     misses: BTreeMap<Key, u32>,
-    /// Who was missed in each of the last rounds of this run, the latest first.
+    /// Instances missed in each of the last rounds of this run, the latest first.
     last_missed: VecDeque<Vec<Key>>,
     tally: Tally,
     deputy: Option<Key>,
     was_root: bool,
-    /// When an account was last reported waiting, by round.
-    waited: BTreeMap<Slot, u64>,
+    /// Number of the last round in which each account was reported waiting.
+    last_waiting: BTreeMap<Slot, u64>,
     spare: Vec<Key>,
     probe: usize,
     started: Instant,
     ticked: Instant,
-    /// Version of the view in which the last tick looked for the root.
+    /// Version of the view from which the last tick determined the root.
     view_seen: Option<u64>,
-    /// The greatest accepted revision heard of.
+    /// Greatest accepted revision seen.
     pub revision: u64,
 }
 
 impl Rounds {
-    /// The rounds of an instance that has just started.
+    /// State of an instance that has just started.
     #[must_use]
     pub fn new(settings: &Settings, now: Instant) -> Self {
-        let me = Key::new(&settings.name);
+        let own_key = Key::new(&settings.name);
         Self {
-            me,
+            own_key,
             domain: Key::new(&settings.domain),
             run: Run {
-                root: me,
+                root: own_key,
                 incarnation: settings.incarnation,
             },
             number: 0,
@@ -152,7 +154,7 @@
             tally: Tally::new(),
             deputy: None,
             was_root: false,
-            waited: BTreeMap::new(),
+            last_waiting: BTreeMap::new(),
             spare: Vec::new(),
             probe: 0,
             started: now,
@@ -162,32 +164,32 @@
         }
     }
 
-    /// Targets that were reported to have free slots in the last round.
+    /// Targets with free slots as of the last round.
     #[must_use]
     pub fn spare(&self) -> &[Key] {
         &self.spare
     }
 
-    /// Whether this instance is the root of its domain.
+    /// Whether this instance acts as root of its domain.
     #[must_use]
     pub const fn is_root(&self) -> bool {
         self.was_root
     }
 
-    /// Whether anybody in this domain starts rounds, so that accounts are fresh.
+    /// Whether rounds are being started in this domain, so that accounts are up to date.
     #[must_use]
     pub fn fresh(&self, now: Instant, settings: &Settings) -> bool {
-        now.since(self.heard) <= silence(settings)
+        now.since(self.heard) <= root_timeout(settings)
     }
 
-    /// When [`Rounds::tick`] has something to do.
+    /// When [`Rounds::tick`] is next due.
     #[must_use]
     pub fn wake_at(&self, settings: &Settings) -> Instant {
-        let silent = self.heard + silence(settings);
+        let silent = self.heard + root_timeout(settings);
         let settled = self.started + settings.round;
         let due = match (self.was_root, self.root_seen) {
             (true, _) => self.next,
-            // Nobody has told a round yet: perhaps this instance is to begin.
+            // No round received yet: this instance may be the first root.
             (false, None) if self.ticked < settled => settled,
             (false, _) => silent,
         };
@@ -196,13 +198,13 @@
             .map_or(due, |open| due.min(open.close_at))
     }
 
-    /// Whether there is something to do: a time has come, or instances have changed.
+    /// Whether [`Rounds::tick`] is due, by time or because the view has changed.
     #[must_use]
     pub fn is_due(&self, now: Instant, settings: &Settings, view: &View) -> bool {
         now >= self.wake_at(settings) || self.view_seen != Some(view.version)
     }
 
-    /// Does what is due.
+    /// Closes the open round and starts the next one, or suspects the root, as due.
     pub fn tick(&mut self, now: Instant, scope: &mut Scope<'_>) {
         self.view_seen = Some(scope.view.version);
         self.ticked = now;
@@ -210,11 +212,11 @@
             self.close(now, scope);
         }
         let tree = Tree::new(scope.view, self.domain);
-        // A router that has just started may not have seen the list of instances yet.
+        // A router that has just started may not have received the list of instances yet.
         let early = now.since(self.started) < scope.settings.round;
-        if tree.root() == Some(self.me) && !early {
+        if tree.root() == Some(self.own_key) && !early {
             if !self.was_root {
-                self.begin_root(now, scope);
+                self.become_root(now, scope);
             }
             if now >= self.next {
                 self.start(now, scope, &tree);
@@ -222,27 +224,28 @@
             return;
         }
         self.was_root = false;
-        if now.since(self.heard) > silence(scope.settings) {
-            self.doubt_root(now, scope, &tree);
+        if now.since(self.heard) > root_timeout(scope.settings) {
+            self.suspect_root(now, scope, &tree);
         }
     }
 
-    /// Nobody starts rounds: suspect the root and tell the next one that we are here.
-    fn doubt_root(&mut self, now: Instant, scope: &mut Scope<'_>, tree: &Tree) {
+    /// Suspects a root that starts no rounds, and reports this instance as alive to it and to
+    /// its successor.
+    fn suspect_root(&mut self, now: Instant, scope: &mut Scope<'_>, tree: &Tree) {
         if let Some(root) = tree.root() {
             scope.view.suspect(now, root);
-            scope.outbox.push((root, Message::Up(self.knock())));
+            scope.outbox.push((root, Message::Up(self.keep_alive())));
         }
         let next = Tree::new(scope.view, self.domain).root();
-        if let Some(next) = next.filter(|next| *next != self.me) {
-            scope.outbox.push((next, Message::Up(self.knock())));
+        if let Some(next) = next.filter(|next| *next != self.own_key) {
+            scope.outbox.push((next, Message::Up(self.keep_alive())));
         }
         self.heard = now;
         self.next = now;
     }
 
-    /// An answer to no round, which only shows that the sender is alive.
-    fn knock(&self) -> Up {
+    /// An answer with round number 0, which only shows that the sender is alive.
+    fn keep_alive(&self) -> Up {
         Up {
             round: Round {
                 run: self.run,
@@ -254,14 +257,14 @@
         }
     }
 
-    /// A root that had given this instance up is there: answer that we are too.
+    /// Handles a probe from a root that suspected this instance: answers that it is alive.
     pub fn probed(&mut self, from: Key, scope: &mut Scope<'_>) {
         scope.view.clear(from);
-        scope.outbox.push((from, Message::Up(self.knock())));
+        scope.outbox.push((from, Message::Up(self.keep_alive())));
     }
 
-    /// Passes a round on to the children and opens it here.
-    fn spread(
+    /// Forwards a round to the children and opens it here.
+    fn forward(
         &mut self,
         now: Instant,
         scope: &mut Scope<'_>,
@@ -270,22 +273,22 @@
         mut down: Down,
     ) {
         let path = down.path.clone();
-        down.path.push(self.me);
+        down.path.push(self.own_key);
         let children: Vec<Key> = tree
-            .children(self.me)
+            .children(self.own_key)
             .into_iter()
             .filter(|child| !down.path.contains(child))
             .collect();
         for child in &children {
             scope.outbox.push((*child, Message::Down(down.clone())));
         }
-        // The root closes when its next round is due, others a step before their parent.
+        // The root closes when its next round is due, the others one step before their parent.
         let depth = u32::try_from(path.len()).unwrap_or(u32::MAX);
-        let ahead = PATIENCE.saturating_mul(depth).min(scope.settings.round);
+        let ahead = ANSWER_LEAD.saturating_mul(depth).min(scope.settings.round);
         self.open = Some(Open {
             round: down.round,
             parent,
-            awaited: children.into_iter().collect(),
+            pending: children.into_iter().collect(),
             close_at: now + scope.settings.round - ahead,
             missed: Vec::new(),
             amounts: BTreeMap::new(),
@@ -298,14 +301,14 @@
         });
     }
 
-    /// A parent starts a round.
+    /// Handles a round received from a parent.
     pub fn down(&mut self, now: Instant, from: Key, down: Down, scope: &mut Scope<'_>) {
         for key in &down.path {
             scope.view.clear(*key);
         }
         scope.view.clear(from);
         let tree = Tree::new(scope.view, self.domain);
-        let mine = tree.root() == Some(self.me);
+        let mine = tree.root() == Some(self.own_key);
         let seen = self
             .root_seen
             .is_some_and(|round| round.run == down.round.run && round.number >= down.round.number);
@@ -319,21 +322,20 @@
         self.spare.clone_from(&down.spare);
         self.adopt_suspects(now, scope, &down.suspects);
         self.confirm(&down, scope);
-        book::apply(scope, &down.totals);
+        ledger::apply(scope, &down.totals);
         scope.book.note_round(now);
-        // A round still open here will be named as missed.
+        // An unanswered round is dropped; the root lists this instance as missed.
         self.open = None;
         let tree = Tree::new(scope.view, self.domain);
-        self.spread(now, scope, &tree, Some(from), down);
+        self.forward(now, scope, &tree, Some(from), down);
     }
 
-    /// Settles the last answer: it counted, or it goes again.
+    /// Settles the last answer: its amounts were counted, or are sent again.
     fn confirm(&mut self, down: &Down, scope: &mut Scope<'_>) {
         let Some(answer) = self.answer.take() else {
             return;
         };
-        // A round of which nothing was heard here does not matter, as long as the one that
-        // was answered is still named.
+        // Rounds lost in between do not matter as long as the answered one is still listed.
         let rounds = down.round.number.checked_sub(answer.round.number + 1);
         let told = rounds
             .filter(|_| answer.round.run == down.round.run)
@@ -341,15 +343,15 @@
         let counted = told.is_some_and(|missed| {
             !missed
                 .iter()
-                .any(|key| *key == self.me || answer.path.contains(key))
+                .any(|key| *key == self.own_key || answer.path.contains(key))
         });
-        book::settle(scope.book, counted);
+        ledger::settle(scope.book, counted);
     }
 
     fn adopt_suspects(&mut self, now: Instant, scope: &mut Scope<'_>, suspects: &[Key]) {
         let known: Vec<Key> = scope.view.all().map(|(key, _)| key).collect();
         for key in known {
-            if key == self.me {
+            if key == self.own_key {
                 continue;
             }
             if suspects.contains(&key) {
@@ -360,38 +362,38 @@
         }
     }
 
-    /// A child answers.
+    /// Handles an answer of a child.
     pub fn up(&mut self, from: Key, up: &Up, scope: &mut Scope<'_>) {
         let Some(open) = self.open.as_mut().filter(|open| open.round == up.round) else {
-            // Late, or a knock: alive all the same.
+            // A late answer or a keep-alive: the sender is alive in either case.
             if self.was_root {
                 self.misses.remove(&from);
                 scope.view.clear(from);
             }
             return;
         };
-        if !open.awaited.remove(&from) {
+        if !open.pending.remove(&from) {
             return;
         }
         open.missed.extend(&up.missed);
         open.spare.extend(&up.spare);
-        book::add(scope.table, open, &up.charges);
+        ledger::add(scope.table, open, &up.charges);
     }
 
-    /// Ends the round here: answers the parent, or counts it as root.
+    /// Closes the open round: answers the parent, or counts the round if this is the root.
     fn close(&mut self, now: Instant, scope: &mut Scope<'_>) {
         let Some(mut open) = self.open.take() else {
             return;
         };
-        open.missed.extend(&open.awaited);
+        open.missed.extend(&open.pending);
         open.spare.append(&mut scope.spare);
-        book::take(scope.book, scope.table, &mut open);
+        ledger::collect(scope.book, scope.table, &mut open);
         if let Some(parent) = open.parent {
             let up = Up {
                 round: open.round,
                 missed: open.missed,
-                charges: book::ledgers(scope.table, &open.amounts, &open.waiting),
-                spare: limit(open.spare),
+                charges: ledger::ledgers(scope.table, &open.amounts, &open.waiting),
+                spare: truncate_spare(open.spare),
             };
             scope.outbox.push((parent, Message::Up(up)));
             return;
@@ -400,12 +402,12 @@
     }
 }
 
-/// How long no round may start before the root is doubted.
-fn silence(settings: &Settings) -> Duration {
+/// How long the root may start no round before it is suspected.
+fn root_timeout(settings: &Settings) -> Duration {
     settings.round * (settings.missed_rounds + 1)
 }
 
-fn limit(mut spare: Vec<Key>) -> Vec<Key> {
-    spare.truncate(SPARE_LIMIT);
+fn truncate_spare(mut spare: Vec<Key>) -> Vec<Key> {
+    spare.truncate(MAX_SPARE_TARGETS);
     spare
 }
--- a/crates/kernel/src/round/peers.rs
+++ b/crates/kernel/src/round/peers.rs
@@ -1,17 +1,17 @@
-//! Between the roots of failure domains, and from a root to its deputy.
+//! Exchange of totals between the roots of failure domains, and from a root to its deputy.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::tally::{Sheet, Slot};
+use super::tally::{Slot, State};
 use super::tree::Tree;
-use super::{Rounds, Scope, book, silence};
+use super::{Rounds, Scope, ledger, root_timeout};
 use crate::key::Key;
 use crate::message::{Message, Round, Total};
 use crate::time::Instant;
 
 impl Rounds {
-    /// Tells the totals to the other domains' roots and to the deputy.
-    pub(super) fn tell_roots(&mut self, now: Instant, scope: &mut Scope<'_>) {
+    /// Sends the totals to the other domains' roots and to the deputy.
+    pub(super) fn send_totals(&mut self, now: Instant, scope: &mut Scope<'_>) {
         let tree = Tree::new(scope.view, self.domain);
         let domains: BTreeSet<Key> = scope
             .view
@@ -19,7 +19,7 @@
             .map(|(_, member)| member.domain)
             .filter(|domain| *domain != self.domain)
             .collect();
-        self.suspect_silent(now, scope, &domains);
+        self.suspect_silent_domains(now, scope, &domains);
         let total = self.total(scope);
         for domain in domains {
             if let Some(root) = self.contact(scope, domain) {
@@ -29,14 +29,14 @@
         let deputy = tree.deputy();
         if let Some(deputy) = deputy {
             if self.deputy != Some(deputy) {
-                self.brief(scope, deputy);
+                self.send_runs(scope, deputy);
             }
             scope.outbox.push((deputy, Message::Total(total)));
         }
         self.deputy = deputy;
     }
 
-    /// The root of another domain, or some member of it while all are suspected.
+    /// The root of another domain, or its members in rotation while all are suspected.
     pub(super) fn contact(&self, scope: &Scope<'_>, domain: Key) -> Option<Key> {
         Tree::new(scope.view, domain).root().or_else(|| {
             let members: Vec<Key> = scope
@@ -50,24 +50,24 @@
         })
     }
 
-    /// A domain whose root has been silent counts as cut off, all of it.
-    pub(super) fn suspect_silent(
+    /// Suspects every instance of a domain whose root has not been heard for two time-outs.
+    pub(super) fn suspect_silent_domains(
         &mut self,
         now: Instant,
         scope: &mut Scope<'_>,
         domains: &BTreeSet<Key>,
     ) {
-        let silence = silence(scope.settings);
+        let timeout = root_timeout(scope.settings);
         for domain in domains {
             let heard = self
                 .tally
-                .sheets
+                .runs
                 .values()
-                .filter(|sheet| sheet.domain == *domain)
-                .map(|sheet| sheet.heard)
+                .filter(|state| state.domain == *domain)
+                .map(|state| state.heard)
                 .max();
             let since = heard.unwrap_or(self.started);
-            if now.since(since) <= silence * 2 {
+            if now.since(since) <= timeout * 2 {
                 continue;
             }
             let members: Vec<Key> = scope.view.live_in(*domain).collect();
@@ -79,13 +79,13 @@
 
     pub(super) fn total(&self, scope: &Scope<'_>) -> Total {
         let empty = BTreeMap::new();
-        let sheet = self.tally.sheets.get(&self.run);
-        let totals = sheet.map_or(&empty, |sheet| &sheet.totals);
+        let state = self.tally.runs.get(&self.run);
+        let totals = state.map_or(&empty, |state| &state.totals);
         let domain = self.domain;
         let told = |slot: &Slot| {
             let account = scope.book.get(slot.0, slot.1);
-            let waits = sheet.is_some_and(|sheet| sheet.waiting.contains_key(slot));
-            account.waiting > 0 || waits || book::rotates(scope.table, *slot, self.number)
+            let waits = state.is_some_and(|state| state.waiting.contains_key(slot));
+            account.waiting > 0 || waits || ledger::rotates(scope.table, *slot, self.number)
         };
         let chosen: BTreeMap<Slot, i64> = totals
             .iter()
@@ -93,7 +93,7 @@
             .map(|(slot, units)| (*slot, *units))
             .collect();
         let none = BTreeMap::new();
-        let waiting = sheet.map_or(&none, |sheet| &sheet.waiting);
+        let waiting = state.map_or(&none, |state| &state.waiting);
         Total {
             round: Round {
                 run: self.run,
@@ -101,34 +101,34 @@
             },
             domain,
             revision: self.revision,
-            totals: book::ledgers(scope.table, &chosen, waiting),
+            totals: ledger::ledgers(scope.table, &chosen, waiting),
             suspects: scope
                 .view
                 .all()
                 .filter(|(_, member)| member.domain == domain && member.suspected.is_some())
                 .map(|(key, _)| key)
                 .collect(),
-            spare: sheet.map_or_else(Vec::new, |sheet| sheet.spare.clone()),
+            spare: state.map_or_else(Vec::new, |state| state.spare.clone()),
         }
     }
 
-    /// Gives a new deputy, or a domain that is back, all runs in full.
-    pub(super) fn brief(&self, scope: &mut Scope<'_>, to: Key) {
+    /// Sends all runs in full to a new deputy, or to the root of a domain that is back.
+    pub(super) fn send_runs(&self, scope: &mut Scope<'_>, to: Key) {
         let none = BTreeMap::new();
         let counted = self
             .tally
-            .sheets
+            .runs
             .iter()
-            .filter(|(_, sheet)| !sheet.totals.is_empty());
-        for (run, sheet) in counted {
+            .filter(|(_, state)| !state.totals.is_empty());
+        for (run, state) in counted {
             let totals = Total {
                 round: Round {
                     run: *run,
-                    number: sheet.number,
+                    number: state.number,
                 },
-                domain: sheet.domain,
+                domain: state.domain,
                 revision: self.revision,
-                totals: book::ledgers(scope.table, &sheet.totals, &none),
+                totals: ledger::ledgers(scope.table, &state.totals, &none),
                 suspects: Vec::new(),
                 spare: Vec::new(),
             };
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Another root, or the root we stand by for, tells its totals.
+    /// Handles totals from another root, or from the root whose deputy this instance is.
     pub fn total_received(
         &mut self,
         now: Instant,
@@ -151,54 +151,56 @@
         }
         let own = total.domain == self.domain;
         self.revision = self.revision.max(total.revision);
-        // Only a root itself shows that it is back; what others tell of it does not,
-        // or two roots would brief each other without end.
+        // Only a message from a root itself shows that it is back. If a forwarded one did,
+        // two roots would send each other all runs without end.
         let direct = from == run.root && !own;
         let back = direct && scope.view.is_suspected(run.root);
-        let known = self.tally.sheets.contains_key(&run);
-        let sheet = self
+        let known = self.tally.runs.contains_key(&run);
+        let state = self
             .tally
-            .sheets
+            .runs
             .entry(run)
-            .or_insert_with(|| Sheet::new(total.domain, now));
-        if total.round.number < sheet.number {
+            .or_insert_with(|| State::new(total.domain, now));
+        if total.round.number < state.number {
             return;
         }
-        // A whole copy of a round already heard brings totals, but no news of who waits.
-        if total.round.number > sheet.number {
-            sheet.number = total.round.number;
-            sheet.heard = now;
-            sheet.spare.clone_from(&total.spare);
-            sheet.suspects.clone_from(&total.suspects);
-            sheet.waiting.clear();
+        // A full copy of a round already received adds totals, but no change of the waiting
+        // customers, free slots or suspects.
+        if total.round.number > state.number {
+            state.number = total.round.number;
+            state.heard = now;
+            state.spare.clone_from(&total.spare);
+            state.suspects.clone_from(&total.suspects);
+            state.waiting.clear();
         }
-        for (slot, charge) in book::slots(scope.table, &total.totals) {
-            sheet.totals.insert(slot, charge.units);
+        for (slot, charge) in ledger::slots(scope.table, &total.totals) {
+            state.totals.insert(slot, charge.units);
             if charge.waiting > 0 {
-                sheet.waiting.insert(slot, charge.waiting);
+                state.waiting.insert(slot, charge.waiting);
             }
         }
         if direct {
-            Self::clear_domain(now, scope, total);
+            Self::adopt_domain_suspects(now, scope, total);
         }
         if self.was_root {
-            let touched: Vec<Slot> = book::slots(scope.table, &total.totals)
+            let touched: Vec<Slot> = ledger::slots(scope.table, &total.totals)
                 .map(|(slot, _)| slot)
                 .collect();
             for slot in touched {
                 scope.book.get_mut(slot.0, slot.1).fleet = self.tally.sum(slot);
             }
             if back || (direct && !known) {
-                self.brief(scope, run.root);
+                self.send_runs(scope, run.root);
             }
         } else if !own && let Some(root) = tree.root().filter(|root| *root != from) {
-            // Sent to us while its sender knew no better: pass it to the root.
+            // The sender did not know the current root: forward the message to it.
             scope.outbox.push((root, Message::Total(total.clone())));
         }
     }
 
-    /// A root speaks for its domain: who is suspected there, and that the rest is not.
-    pub(super) fn clear_domain(now: Instant, scope: &mut Scope<'_>, total: &Total) {
+    /// Adopts the list of suspects that a root reports for its domain; all its other instances
+    /// are cleared.
+    pub(super) fn adopt_domain_suspects(now: Instant, scope: &mut Scope<'_>, total: &Total) {
         let members: Vec<Key> = scope
             .view
             .all()
--- a/crates/kernel/src/round/root.rs
+++ b/crates/kernel/src/round/root.rs
@@ -1,14 +1,17 @@
-//! The root's part: starting rounds, counting them, and telling what stands.
+//! Duties of the root: starting rounds, counting them and publishing the result.
 
-use super::tally::Sheet;
+use super::tally::State;
 use super::tree::Tree;
-use super::{IDLE, NAMED, Open, Rounds, Scope, book, limit, silence};
+use super::{
+    IDLE_AFTER_ROUNDS, MISSED_ROUNDS_LISTED, Open, Rounds, Scope, ledger, root_timeout,
+    truncate_spare,
+};
 use crate::key::Key;
 use crate::message::{Down, Message, Round};
 use crate::time::Instant;
 
 impl Rounds {
-    pub(super) fn begin_root(&mut self, now: Instant, scope: &mut Scope<'_>) {
+    pub(super) fn become_root(&mut self, now: Instant, scope: &mut Scope<'_>) {
         self.was_root = true;
         self.next = now;
         self.misses.clear();
@@ -16,18 +19,19 @@
         let domain = self.domain;
         let known = self
             .tally
-            .sheets
+            .runs
             .values()
-            .any(|sheet| sheet.domain == domain && sheet.number > 0);
-        let sheet = self
+            .any(|state| state.domain == domain && state.number > 0);
+        let state = self
             .tally
-            .sheets
+            .runs
             .entry(self.run)
-            .or_insert_with(|| Sheet::new(domain, now));
-        sheet.heard = now;
+            .or_insert_with(|| State::new(domain, now));
+        state.heard = now;
         if !known {
-            // Neither the former root nor its deputy is left: go on from the last totals told.
-            sheet.totals = book::inherit(scope.book);
+            // No run of this domain is known here, as when both the former root and its deputy
+            // failed: continue from the last totals received in a round.
+            state.totals = ledger::nonzero_totals(scope.book);
         }
     }
 
@@ -50,16 +54,16 @@
             missed: self.last_missed.iter().cloned().collect(),
             suspects: scope.view.suspects().collect(),
             revision: self.revision,
-            totals: book::totals(scope, self.number),
+            totals: ledger::totals(scope, self.number),
             spare: self.spare.clone(),
         };
         self.probe_suspect(scope);
-        self.spread(now, scope, tree, None, down);
+        self.forward(now, scope, tree, None, down);
     }
 
-    /// Works out the state to be told: totals, who waits, lifts, free slots.
+    /// Computes the state to send: totals, waiting customers, raised accounts, free slots.
     pub(super) fn publish(&mut self, now: Instant, scope: &mut Scope<'_>) {
-        let fresh = now - silence(scope.settings);
+        let fresh = now - root_timeout(scope.settings);
         let waiting = self.tally.waiting(fresh);
         self.spare = self.tally.spare(fresh);
         scope.book.clear_waiting();
@@ -67,34 +71,35 @@
         for (slot, routers) in &waiting {
             scope.book.set_waiting(slot.0, slot.1, *routers);
         }
-        let oldest = self.number.saturating_sub(IDLE);
-        self.waited.retain(|_, number| *number >= oldest);
-        if self.leads(fresh) {
-            let lifts = book::lifts(scope, &waiting, &self.waited);
-            if let Some(sheet) = self.tally.sheets.get_mut(&self.run) {
-                for (slot, units) in lifts {
-                    *sheet.totals.entry(slot).or_default() += units;
+        let oldest = self.number.saturating_sub(IDLE_AFTER_ROUNDS);
+        self.last_waiting.retain(|_, number| *number >= oldest);
+        if self.is_leader(fresh) {
+            let raises = ledger::raises(scope, &waiting, &self.last_waiting);
+            if let Some(state) = self.tally.runs.get_mut(&self.run) {
+                for (slot, units) in raises {
+                    *state.totals.entry(slot).or_default() += units;
                     scope.book.get_mut(slot.0, slot.1).fleet += units;
                 }
             }
         }
         for slot in waiting.keys() {
-            self.waited.insert(*slot, self.number);
+            self.last_waiting.insert(*slot, self.number);
         }
         scope.book.note_round(now);
     }
 
-    pub(super) fn leads(&self, fresh: Instant) -> bool {
+    /// Whether this root has the least key among the roots heard since `fresh`.
+    pub(super) fn is_leader(&self, fresh: Instant) -> bool {
         self.tally
-            .sheets
+            .runs
             .iter()
-            .filter(|(_, sheet)| sheet.heard >= fresh)
+            .filter(|(_, state)| state.heard >= fresh)
             .map(|(run, _)| run.root)
             .min()
-            .is_none_or(|least| least >= self.me)
+            .is_none_or(|least| least >= self.own_key)
     }
 
-    /// Tells one suspected instance of this domain that we are here, in rotation.
+    /// Sends a probe to one suspected instance of this domain, in rotation.
     pub(super) fn probe_suspect(&mut self, scope: &mut Scope<'_>) {
         let domain = self.domain;
         let suspects: Vec<Key> = scope
@@ -111,26 +116,26 @@
     }
 
     pub(super) fn count(&mut self, now: Instant, scope: &mut Scope<'_>, open: Open) {
-        if let Some(sheet) = self.tally.sheets.get_mut(&self.run) {
-            sheet.number = open.round.number;
-            sheet.heard = now;
-            sheet.waiting = open.waiting;
-            sheet.spare = limit(open.spare);
+        if let Some(state) = self.tally.runs.get_mut(&self.run) {
+            state.number = open.round.number;
+            state.heard = now;
+            state.waiting = open.waiting;
+            state.spare = truncate_spare(open.spare);
             for (slot, units) in open.amounts {
-                *sheet.totals.entry(slot).or_default() += units;
+                *state.totals.entry(slot).or_default() += units;
                 scope.book.get_mut(slot.0, slot.1).fleet += units;
             }
         }
-        // The root's own part is in the totals from here on.
-        book::settle_silently(scope.book);
+        // The root's own charges are in the totals from here on.
+        ledger::clear_sent(scope.book);
         self.answer = None;
-        self.judge_missed(now, scope, &open.missed);
+        self.suspect_missed(now, scope, &open.missed);
         self.last_missed.push_front(open.missed);
-        self.last_missed.truncate(NAMED);
-        self.tell_roots(now, scope);
+        self.last_missed.truncate(MISSED_ROUNDS_LISTED);
+        self.send_totals(now, scope);
     }
 
-    pub(super) fn judge_missed(&mut self, now: Instant, scope: &mut Scope<'_>, missed: &[Key]) {
+    pub(super) fn suspect_missed(&mut self, now: Instant, scope: &mut Scope<'_>, missed: &[Key]) {
         self.misses.retain(|key, _| missed.contains(key));
         for key in missed {
             let count = self.misses.entry(*key).or_default();
--- a/crates/kernel/src/round/tally.rs
+++ b/crates/kernel/src/round/tally.rs
@@ -1,10 +1,10 @@
 //! Totals by run, and their sum.
 //!
-//! Every root counts what its own domain charged in a [`Run`] of its own, starting
-//! from zero, and nobody else writes to that run. Merging two states is therefore
-//! taking the later round of each run: order-free, safe against doubles, and the
-//! same after a partition of any length. The fleet's total is the sum over runs,
-//! those of dead roots included.
+//! Every root counts the charges of its own domain in a [`Run`] of its own, starting
+//! from zero, and is the only writer of that run. Merging two states therefore takes
+//! the later round of each run, which is commutative and idempotent and works after a
+//! partition of any length. The fleet's total is the sum over all runs, including
+//! those of failed roots.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,18 +16,18 @@
 /// A customer in a pool.
 pub type Slot = (Pool, Customer);
 
-/// What one run has counted.
+/// State of one run as last received.
 #[derive(Clone, Debug)]
-pub struct Sheet {
+pub struct State {
     /// The failure domain of the run.
     pub domain: Key,
-    /// The latest round known.
+    /// Number of the latest round known.
     pub number: u64,
-    /// When it was last heard.
+    /// When the run was last heard of.
     pub heard: Instant,
     /// Totals, in units.
     pub totals: BTreeMap<Slot, i64>,
-    /// Accounts with requests waiting in the domain, and at how many routers.
+    /// Accounts with requests waiting in the domain, with the number of routers.
     pub waiting: BTreeMap<Slot, u32>,
     /// Instances that the root suspects.
     pub suspects: Vec<Key>,
@@ -35,8 +35,8 @@
     pub spare: Vec<Key>,
 }
 
-impl Sheet {
-    /// The sheet of a run that has counted nothing.
+impl State {
+    /// State of a run that has counted nothing.
     #[must_use]
     pub const fn new(domain: Key, heard: Instant) -> Self {
         Self {
@@ -51,11 +51,11 @@
     }
 }
 
-/// All runs known.
+/// All known runs.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    /// Sheets by run.
-    pub sheets: BTreeMap<Run, Sheet>,
+    /// State by run.
+    pub runs: BTreeMap<Run, State>,
 }
 
 impl Tally {
@@ -68,28 +68,28 @@
     /// The fleet's total of an account, in units.
     #[must_use]
     pub fn sum(&self, slot: Slot) -> i64 {
-        self.sheets
+        self.runs
             .values()
-            .filter_map(|sheet| sheet.totals.get(&slot))
+            .filter_map(|state| state.totals.get(&slot))
             .sum()
     }
 
-    /// Every account that some run has counted.
+    /// Accounts that appear in the totals of any run.
     #[must_use]
     pub fn slots(&self) -> BTreeSet<Slot> {
-        self.sheets
+        self.runs
             .values()
-            .flat_map(|sheet| sheet.totals.keys().copied())
+            .flat_map(|state| state.totals.keys().copied())
             .collect()
     }
 
-    /// Accounts waiting in any domain whose root was heard since `fresh`, and at how
-    /// many routers.
+    /// Accounts waiting in any domain whose root was heard since `fresh`, with the number
+    /// of routers.
     #[must_use]
     pub fn waiting(&self, fresh: Instant) -> BTreeMap<Slot, u32> {
         let mut waiting = BTreeMap::new();
-        for sheet in self.sheets.values().filter(|sheet| sheet.heard >= fresh) {
-            for (slot, routers) in &sheet.waiting {
+        for state in self.runs.values().filter(|state| state.heard >= fresh) {
+            for (slot, routers) in &state.waiting {
                 *waiting.entry(*slot).or_default() += routers;
             }
         }
@@ -99,10 +99,10 @@
     /// Targets with free slots in any domain whose root was heard since `fresh`.
     #[must_use]
     pub fn spare(&self, fresh: Instant) -> Vec<Key> {
-        self.sheets
+        self.runs
             .values()
-            .filter(|sheet| sheet.heard >= fresh)
-            .flat_map(|sheet| sheet.spare.iter().copied())
+            .filter(|state| state.heard >= fresh)
+            .flat_map(|state| state.spare.iter().copied())
             .collect()
     }
 }
--- a/crates/kernel/src/round/tree.rs
+++ b/crates/kernel/src/round/tree.rs
@@ -1,11 +1,11 @@
 //! The tree over which a failure domain sums its accounts.
 //!
-//! Reachable instances of the domain are sorted by their rendezvous weight for it,
-//! leaving ones last, so that they still hand over what they have charged; the
-//! first is the root, and the one at place `i` has the children `2i + 1` and
-//! `2i + 2`. Every instance works this out from its own view. Where views differ
-//! for a moment an instance is asked twice or not at all; the rounds notice both.
-//! Two children keep every node's traffic within three links.
+//! Reachable instances of the domain are sorted by their rendezvous weight for it.
+//! Leaving ones come last, but are included so that their charges are still counted.
+//! The first is the root, and the one at index `i` has the children `2i + 1` and
+//! `2i + 2`. Every instance computes the tree from its own view. While views differ,
+//! an instance may receive a round twice or not at all; the rounds detect both.
+//! Two children per node limit the traffic of a node to three links.
 
 use std::cmp::Reverse;
 
@@ -13,10 +13,10 @@
 use crate::member::View;
 use crate::rendezvous::weight;
 
-/// Children of a node.
+/// Greatest number of children of a node.
 const FAN_OUT: usize = 2;
 
-/// The tree of one failure domain, as one instance sees it.
+/// The tree of one failure domain, from the view of one instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tree {
     order: Vec<Key>,
@@ -40,13 +40,13 @@
         }
     }
 
-    /// The root.
+    /// The root of the domain.
     #[must_use]
     pub fn root(&self) -> Option<Key> {
         self.order.first().copied()
     }
 
-    /// The instance that becomes root when the root dies.
+    /// The instance that becomes root when the root fails.
     #[must_use]
     pub fn deputy(&self) -> Option<Key> {
         self.order.get(1).copied()
