--- a/crates/kernel/src/account.rs
+++ b/crates/kernel/src/account.rs
@@ -1,27 +1,28 @@
-//! What each customer has received, as this router knows it.
+//! Service that each customer has received, as known to this router.
 //!
 //! An [`Account`] belongs to one customer in one pool. Its service is the sum of
 //! three parts that never overlap: the fleet's total as of the last round, what
 //! this router has charged since (unsent, or sent and not yet confirmed), and
 //! what this router has granted to others but not yet seen in the total
-//! (provisional, forgotten after two rounds). Between rounds all routers see the
-//! same customer behind and would all serve it; so a router counts its own charges
-//! since the round once for each router at which the customer waits
-//! ([`Account::expected`]), until the next round tells what was really charged.
+//! (provisional, dropped after two rounds). Between rounds all routers see the
+//! same customer behind and would all serve it; a router therefore counts its own
+//! charges since the round once for each router at which the customer waits
+//! ([`Account::expected`]), until the next round reports what was actually charged.
 //!
 //! The order is start-time fair queueing over the fleet's service (Goyal, Vin and
 //! Cheng, 1996): a customer's virtual time is its service divided by its share,
-//! the least goes first. A customer that nobody reported as waiting may not use
+//! and the least goes first. A customer that was not reported as waiting may not use
 //! idle time as credit: its rank is at least the pool's [`Book::frontier`], the
 //! least virtual time among waiting customers.
 //!
 //! A request is charged with a reservation when it is admitted, with what it has
-//! used on top while it runs, and with exactly what it used at its end. Charges are
-//! therefore amounts with a sign, and their sum is what was used. The reservation
-//! is a multiple of the estimated cost ([`crate::settings::Settings::reserve`]). It
-//! tells every router how many slots a customer has, not only what it received:
-//! slots cannot be taken back, so an order by what was received alone would give
-//! the customer that is behind far too many, starve it in turn, and swing.
+//! used on top of that while it runs, and with exactly what it used at its end.
+//! Charges are therefore signed amounts, and their sum is what was used. The
+//! reservation is a multiple of the estimated cost
+//! ([`crate::settings::Settings::reserve`]). It shows every router how many slots a
+//! customer has, not only what it has received: slots are not preempted, so an
+//! order by received service alone would give the customer that is behind far too
+//! many slots, starve it afterwards, and oscillate.
 
 use std::time::Duration;
 
@@ -29,7 +30,7 @@
 use crate::table::Table;
 use crate::time::Instant;
 
-/// Virtual time per unit of service and share.
+/// Fixed-point scale of virtual time: virtual time of one unit of service at share 1.
 pub const SCALE: i64 = 1024;
 
 /// Service of one customer in one pool, in units.
@@ -37,29 +38,30 @@
 pub struct Account {
     /// The fleet's total as of the last round.
     pub fleet: i64,
-    /// Charged here and not yet sent.
+    /// Charged by this router and not yet sent.
     pub unsent: i64,
-    /// Charged here, sent, and not yet confirmed.
+    /// Charged by this router, sent, and not yet confirmed.
     pub sent: i64,
-    /// Granted from here in this round and the one before.
+    /// Granted by this router to others in this round and the one before.
     pub provisional: [i64; 2],
-    /// Routers at which the fleet reported requests of it waiting.
+    /// Number of routers at which the last round reported requests of this account waiting.
     pub waiting: u32,
-    /// Requests of it waiting here.
+    /// Requests of this account waiting at this router.
     pub queued: u32,
-    /// Whether one of them has waited for a round or longer.
+    /// Whether one of these requests has waited for a round or longer.
     pub overdue: bool,
 }
 
 impl Account {
-    /// All service known, in units.
+    /// Known service, in units: the fleet's total and the charges of this router.
     #[must_use]
     pub const fn service(&self) -> i64 {
         self.fleet + self.unsent + self.sent
     }
 
-    /// All service known, and what others are likely to have charged meanwhile: as
-    /// much as this router, at each router where the customer waits.
+    /// Expected service, in units: the known service, provisional grants, and the charges of
+    /// other routers since the round, taken to equal those of this router at each router
+    /// where the customer waits.
     #[must_use]
     pub fn expected(&self) -> i64 {
         let routers = i64::from(self.waiting.max(1));
@@ -68,27 +70,27 @@
     }
 }
 
-/// A place in the fair order; the least goes first.
+/// Position in the fair order; the least goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank(pub i64);
 
-/// How fast a pool's frontier moves.
+/// Position and speed of a pool's frontier as of the last round.
 #[derive(Clone, Copy, Debug, Default)]
-struct Pace {
-    frontier: Option<i64>,
+struct Frontier {
+    position: Option<i64>,
     at: Instant,
-    /// Virtual time a second, smoothed over about [`PACE_PARTS`] rounds.
+    /// Virtual time per second, smoothed over about [`RATE_SMOOTHING_ROUNDS`] rounds.
     rate: i64,
 }
 
-/// Rounds over which the pace of a frontier is smoothed.
-const PACE_PARTS: i64 = 4;
+/// Rounds over which the rate of a frontier is smoothed.
+const RATE_SMOOTHING_ROUNDS: i64 = 4;
 
 /// All accounts of a router.
 #[derive(Clone, Debug, Default)]
 pub struct Book {
-    /// How fast the frontiers move, by pool.
-    paces: Vec<Pace>,
+    /// Frontiers as of the last round, by pool.
+    frontiers: Vec<Frontier>,
     /// Accounts by pool, then customer.
     rows: Vec<Vec<Account>>,
     /// Shares by customer.
@@ -104,7 +106,7 @@
         Self::default()
     }
 
-    /// Makes room for the rows of a table and takes its shares.
+    /// Adapts to the pools, customers and shares of a table.
     pub fn resize(&mut self, table: &Table) {
         self.shares = table
             .customers
@@ -113,7 +115,7 @@
             .collect();
         self.rows.resize(table.pool_bound, Vec::new());
         self.waiting.resize(table.pool_bound, Vec::new());
-        self.paces.resize(table.pool_bound, Pace::default());
+        self.frontiers.resize(table.pool_bound, Frontier::default());
         for accounts in &mut self.rows {
             accounts.resize(self.shares.len(), Account::default());
         }
@@ -125,17 +127,17 @@
         &self.rows[pool.row()][customer.row()]
     }
 
-    /// The account of a customer in a pool, to change.
+    /// Mutable access to the account of a customer in a pool.
     pub fn get_mut(&mut self, pool: Pool, customer: Customer) -> &mut Account {
         &mut self.rows[pool.row()][customer.row()]
     }
 
-    /// Adds to what this router has charged; the amount may be negative.
+    /// Adds an amount, in units, to the unsent charges; it may be negative.
     pub fn charge(&mut self, pool: Pool, customer: Customer, units: i64) {
         self.get_mut(pool, customer).unsent += units;
     }
 
-    /// Every account with its place.
+    /// Every account with its pool and customer.
     pub fn all(&self) -> impl Iterator<Item = (Pool, Customer, &Account)> {
         self.rows.iter().enumerate().flat_map(|(pool, accounts)| {
             accounts
@@ -145,7 +147,7 @@
         })
     }
 
-    /// Every account with its place, to change.
+    /// Every account with its pool and customer, mutably.
     pub fn all_mut(&mut self) -> impl Iterator<Item = (Pool, Customer, &mut Account)> {
         self.rows
             .iter_mut()
@@ -160,15 +162,16 @@
             })
     }
 
-    /// Virtual time of a customer in a pool, in units per share times [`SCALE`].
+    /// Virtual time of a customer in a pool by its expected service, in units per share times
+    /// [`SCALE`].
     #[must_use]
     pub fn virtual_time(&self, pool: Pool, customer: Customer) -> i64 {
         let service = self.get(pool, customer).expected();
         service.saturating_mul(SCALE) / self.shares[customer.row()]
     }
 
-    /// How far a customer is ahead of the frontier by what is known for sure, in
-    /// virtual time; zero when nobody is reported waiting.
+    /// How far a customer is ahead of the waiting customers by known service alone, in virtual
+    /// time; zero when no customer is reported waiting.
     #[must_use]
     pub fn lead(&self, pool: Pool, customer: Customer) -> i64 {
         let least = self.waiting[pool.row()]
@@ -183,7 +186,7 @@
         service.saturating_mul(SCALE) / self.shares[customer.row()]
     }
 
-    /// The least virtual time among customers that the fleet reported waiting.
+    /// Least virtual time among the customers reported waiting in a pool.
     #[must_use]
     pub fn frontier(&self, pool: Pool) -> Option<i64> {
         self.waiting[pool.row()]
@@ -192,7 +195,7 @@
             .min()
     }
 
-    /// The greatest virtual time among customers that the fleet reported waiting.
+    /// Greatest virtual time among the customers reported waiting in a pool.
     #[must_use]
     pub fn vanguard(&self, pool: Pool) -> Option<i64> {
         self.waiting[pool.row()]
@@ -201,13 +204,13 @@
             .max()
     }
 
-    /// Customers that the fleet reported waiting in a pool.
+    /// Customers that the last round reported waiting in a pool.
     #[must_use]
     pub fn waiting(&self, pool: Pool) -> &[Customer] {
         &self.waiting[pool.row()]
     }
 
-    /// The place of a customer in the order of a pool.
+    /// Rank of a customer in the fair order of a pool.
     #[must_use]
     pub fn rank(&self, pool: Pool, customer: Customer) -> Rank {
         let own = self.virtual_time(pool, customer);
@@ -217,7 +220,7 @@
         Rank(self.frontier(pool).map_or(own, |least| own.max(least)))
     }
 
-    /// Forgets who the fleet reported waiting.
+    /// Clears the customers reported waiting.
     pub fn clear_waiting(&mut self) {
         for (pool, customers) in self.waiting.iter_mut().enumerate() {
             for customer in customers.drain(..) {
@@ -226,7 +229,7 @@
         }
     }
 
-    /// Notes at how many routers the fleet reported a customer waiting.
+    /// Sets the number of routers at which a customer was reported waiting.
     pub fn set_waiting(&mut self, pool: Pool, customer: Customer, routers: u32) {
         let account = &mut self.rows[pool.row()][customer.row()];
         if account.waiting == 0 && routers > 0 {
@@ -235,30 +238,30 @@
         account.waiting = routers;
     }
 
-    /// Notes where the frontiers stand after a round.
+    /// Records the positions of the frontiers after a round, and updates their rates.
     pub fn note_round(&mut self, now: Instant) {
-        for at in 0..self.paces.len() {
-            let frontier = self.frontier(Pool::new(at));
-            let pace = &mut self.paces[at];
-            if let (Some(before), Some(after)) = (pace.frontier, frontier) {
-                let micros = i64::try_from(now.since(pace.at).as_micros()).unwrap_or(i64::MAX);
+        for row in 0..self.frontiers.len() {
+            let position = self.frontier(Pool::new(row));
+            let frontier = &mut self.frontiers[row];
+            if let (Some(before), Some(after)) = (frontier.position, position) {
+                let micros = i64::try_from(now.since(frontier.at).as_micros()).unwrap_or(i64::MAX);
                 let moved = (after - before).max(0).saturating_mul(1_000_000);
                 let rate = moved / micros.max(1);
-                pace.rate += (rate - pace.rate) / PACE_PARTS;
+                frontier.rate += (rate - frontier.rate) / RATE_SMOOTHING_ROUNDS;
             }
-            pace.frontier = frontier;
-            pace.at = now;
+            frontier.position = position;
+            frontier.at = now;
         }
     }
 
-    /// How far a pool's frontier moves in a time, in virtual time.
+    /// Distance by which a pool's frontier moves within a time span, in virtual time.
     #[must_use]
     pub fn advance(&self, pool: Pool, span: Duration) -> i64 {
         let millis = i64::try_from(span.as_millis()).unwrap_or(i64::MAX);
-        self.paces[pool.row()].rate.saturating_mul(millis) / 1_000
+        self.frontiers[pool.row()].rate.saturating_mul(millis) / 1_000
     }
 
-    /// Ages what was granted provisionally by one round.
+    /// Ages provisional grants by one round, dropping those of the round before the last.
     pub fn age_provisional(&mut self) {
         for (_, _, account) in self.all_mut() {
             account.provisional = [0, account.provisional[0]];
@@ -266,7 +269,7 @@
     }
 }
 
-/// The charge of one running request.
+/// Charges of one running request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Meter {
     reservation: u64,
@@ -296,13 +299,13 @@
         self.settle(self.reservation)
     }
 
-    /// The amount to charge after `used` units; a late, lower figure changes nothing.
+    /// The amount to charge after `used` units; a lower figure that arrives late has no effect.
     pub fn progress(&mut self, used: u64) -> i64 {
         self.used = self.used.max(used);
         self.settle(self.reservation)
     }
 
-    /// The amount to charge at the end, after `used` units in all.
+    /// The amount to charge at the end, after `used` units in total.
     pub fn finish(&mut self, used: u64) -> i64 {
         self.used = self.used.max(used);
         self.settle(0)
@@ -316,29 +319,29 @@
     }
 }
 
-/// Weight of a new cost in a learned estimate, as a shift: one eighth.
+/// Weight of a new cost in an estimate, as a right shift: one eighth.
 const LEARN_SHIFT: u32 = 3;
 
-/// The learned cost of a customer's requests to a service, in units.
+/// Moving average of the cost of a customer's requests to a service, in units.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Estimate {
     mean: Option<u64>,
 }
 
 impl Estimate {
-    /// An estimate that has learned nothing.
+    /// An estimate without samples.
     #[must_use]
     pub const fn new() -> Self {
         Self { mean: None }
     }
 
-    /// The estimate, or a prior when nothing was learned.
+    /// The estimate, or `prior` when there are no samples.
     #[must_use]
     pub fn get(&self, prior: u64) -> u64 {
         self.mean.unwrap_or(prior)
     }
 
-    /// Learns the cost of a finished request.
+    /// Adds the cost of a finished request to the average.
     pub fn learn(&mut self, cost: u64) {
         self.mean = Some(match self.mean {
             None => cost,
