--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,24 +1,24 @@
-//! The decisions of a dunlinward router, free of input and output.
+//! Decision logic of a dunlinward router, free of input and output.
 //!
-//! A [`kernel::Kernel`] is one router's mind: it is fed [`event::Event`]s, each
-//! with the time at which it happened, and answers with [`action::Action`]s for
-//! its driver to carry out. It reads no clock, opens no socket, starts no thread
-//! and draws no random number of its own, so the same events give the same
-//! actions in the router, in a scenario and in a measurement.
+//! A [`kernel::Kernel`] is the deterministic state machine of one router: it consumes
+//! [`event::Event`]s, each with the time at which it happened, and returns
+//! [`action::Action`]s for its driver to carry out. It reads no clock, opens no socket,
+//! starts no thread and draws no random number of its own, so the same events give the
+//! same actions in the router, in a scenario and in a measurement.
 //!
-//! The modules read like the way of a request:
+//! Modules, from basic types to the step function:
 //!
-//! - [`time`], [`id`], [`key`]: moments, dense indices, and names on the wire.
+//! - [`time`], [`id`], [`key`]: instants, dense indices, and keys on the wire.
 //! - [`table`]: the accepted configuration as dense tables.
-//! - [`event`], [`action`], [`message`], [`verdict`]: what goes in and out.
-//! - [`member`], [`rendezvous`]: who is alive and who owns which target.
-//! - [`queue`], [`request`]: callers' requests while they are ours.
-//! - [`retry`], [`health`]: trying again, and where not to.
+//! - [`event`], [`action`], [`message`], [`verdict`]: inputs and outputs.
+//! - [`member`], [`rendezvous`]: live instances and the owner of each target.
+//! - [`queue`], [`request`]: requests from arrival to completion.
+//! - [`retry`], [`health`]: retries, and targets to avoid.
 //! - [`account`], [`round`]: service received, summed over the fleet.
-//! - [`owner`], [`holder`]: handing out and using a target's slots.
-//! - [`plugin`]: what may vary, registered by other packages.
-//! - [`kernel`]: the step function that binds them.
-//! - [`verify`]: invariants, checked apart from the code that keeps them.
+//! - [`owner`], [`holder`]: granting and using a target's slots.
+//! - [`plugin`]: replaceable policies, registered by other packages.
+//! - [`kernel`]: the step function that combines them.
+//! - [`verify`]: invariants, checked independently of the code that maintains them.
 
 pub mod account;
 pub mod action;
--- a/crates/kernel/src/verify.rs
+++ b/crates/kernel/src/verify.rs
@@ -1,7 +1,7 @@
-//! Invariants of one kernel, checked apart from the code that keeps them.
+//! Invariants of one kernel, checked independently of the code that maintains them.
 //!
-//! Tests call [`check`] after every step. It works everything out again from the
-//! requests themselves, the slowest and plainest way.
+//! Tests call [`check`] after every step. It recomputes all state from the requests
+//! themselves, in the simplest way, regardless of speed.
 
 use std::collections::BTreeMap;
 
@@ -10,19 +10,19 @@
 use crate::request::State;
 use crate::settings::Admission;
 
-/// An invariant that does not hold.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// A waiting request is not in the queue exactly once.
+    /// The first request of a backlog is not waiting.
     NotQueuedOnce(Request),
-    /// The queue holds more requests than wait.
+    /// The queue's length differs from the number of waiting requests.
     QueueLength {
         /// Requests in the queue.
         queued: usize,
-        /// Requests waiting.
+        /// Requests in the waiting state.
         waiting: usize,
     },
-    /// Slots in use differ from requests sent.
+    /// The slots in use at a target differ from the requests sent to it.
     Busy {
         /// The target.
         target: Target,
@@ -31,23 +31,23 @@
         /// Requests sent.
         sent: u32,
     },
-    /// The account's count of waiting requests is wrong.
+    /// An account's count of waiting requests is wrong.
     Queued {
         /// The pool.
         pool: Pool,
         /// The customer.
         customer: Customer,
     },
-    /// An owner has given out more slots than a target has.
+    /// An owner has granted more than twice the slots of a target.
     Overgranted {
         /// The target.
         target: Target,
-        /// Slots given out.
+        /// Slots granted.
         held: u32,
     },
 }
 
-/// Every invariant that does not hold.
+/// Returns every violated invariant.
 #[must_use]
 pub fn check(kernel: &Kernel) -> Vec<Violation> {
     let mut violations = Vec::new();
@@ -60,32 +60,29 @@
 
 fn check_queue(kernel: &Kernel, violations: &mut Vec<Violation>) {
     let mut waiting = 0;
-    for (request, life) in kernel.requests() {
-        if let State::Waiting(_) = life {
+    for (request, state) in kernel.requests() {
+        if let State::Waiting(_) = state {
             waiting += 1;
             let _ = request;
         }
     }
-    let lines: usize = kernel
+    let queued: usize = kernel
         .queue()
         .lanes()
-        .flat_map(|(_, lines)| lines.values())
+        .flat_map(|(_, backlogs)| backlogs.values())
         .map(crate::queue::Backlog::len)
         .sum();
-    if lines != waiting || kernel.queue().len() != waiting {
-        violations.push(Violation::QueueLength {
-            queued: lines,
-            waiting,
-        });
+    if queued != waiting || kernel.queue().len() != waiting {
+        violations.push(Violation::QueueLength { queued, waiting });
     }
-    for (_, lines) in kernel.queue().lanes() {
-        for line in lines.values() {
-            let Some(front) = line.front() else {
+    for (_, backlogs) in kernel.queue().lanes() {
+        for backlog in backlogs.values() {
+            let Some(front) = backlog.front() else {
                 continue;
             };
             let found = kernel
                 .requests()
-                .any(|(request, life)| request == front && matches!(life, State::Waiting(_)));
+                .any(|(request, state)| request == front && matches!(state, State::Waiting(_)));
             if !found {
                 violations.push(Violation::NotQueuedOnce(front));
             }
@@ -95,8 +92,8 @@
 
 fn check_busy(kernel: &Kernel, violations: &mut Vec<Violation>) {
     let mut sent: BTreeMap<Target, u32> = BTreeMap::new();
-    for (_, life) in kernel.requests() {
-        if let State::Sent(request) = life {
+    for (_, state) in kernel.requests() {
+        if let State::Sent(request) = state {
             *sent.entry(request.stage.target).or_default() += 1;
         }
     }
@@ -117,8 +114,8 @@
         return;
     };
     let mut waiting: BTreeMap<(Pool, Customer), u32> = BTreeMap::new();
-    for (_, life) in kernel.requests() {
-        if let State::Waiting(request) = life {
+    for (_, state) in kernel.requests() {
+        if let State::Waiting(request) = state {
             let pool = table.pool(request.arrival.service);
             *waiting.entry((pool, request.arrival.customer)).or_default() += 1;
         }
@@ -140,7 +137,7 @@
     }
     for target in kernel.owner().targets() {
         let held = kernel.owner().held(target).unwrap_or(0);
-        // Twice the slots is the bound while two routers dispute a target.
+        // While two routers both act as owner of a target, up to twice its slots are granted.
         if held > table.targets[target.row()].slots * 2 {
             violations.push(Violation::Overgranted { target, held });
         }
