--- a/crates/kernel/src/round/mod.rs
+++ b/crates/kernel/src/round/mod.rs
@@ -118,7 +118,7 @@
     last_missed: VecDeque<Vec<Key>>,
     tally: Tally,
     deputy: Option<Key>,
-    was_root: bool,
+    acting_root: bool,
     /// Number of the last round in which each account was reported waiting.
     last_waiting: BTreeMap<Slot, u64>,
     spare: Vec<Key>,
@@ -153,7 +153,7 @@
             last_missed: VecDeque::new(),
             tally: Tally::new(),
             deputy: None,
-            was_root: false,
+            acting_root: false,
             last_waiting: BTreeMap::new(),
             spare: Vec::new(),
             probe: 0,
@@ -173,7 +173,7 @@
     /// Whether this instance acts as root of its domain.
     #[must_use]
     pub const fn is_root(&self) -> bool {
-        self.was_root
+        self.acting_root
     }
 
     /// Whether rounds are being started in this domain, so that accounts are up to date.
@@ -187,7 +187,7 @@
     pub fn wake_at(&self, settings: &Settings) -> Instant {
         let silent = self.heard + root_timeout(settings);
         let settled = self.started + settings.round;
-        let due = match (self.was_root, self.root_seen) {
+        let due = match (self.acting_root, self.root_seen) {
             (true, _) => self.next,
             // No round received yet: this instance may be the first root.
             (false, None) if self.ticked < settled => settled,
@@ -213,9 +213,9 @@
         }
         let tree = Tree::new(scope.view, self.domain);
         // A router that has just started may not have received the list of instances yet.
-        let early = now.since(self.started) < scope.settings.round;
-        if tree.root() == Some(self.own_key) && !early {
-            if !self.was_root {
+        let starting = now.since(self.started) < scope.settings.round;
+        if tree.root() == Some(self.own_key) && !starting {
+            if !self.acting_root {
                 self.become_root(now, scope);
             }
             if now >= self.next {
@@ -223,7 +223,7 @@
             }
             return;
         }
-        self.was_root = false;
+        self.acting_root = false;
         if now.since(self.heard) > root_timeout(scope.settings) {
             self.suspect_root(now, scope, &tree);
         }
@@ -308,14 +308,14 @@
         }
         scope.view.clear(from);
         let tree = Tree::new(scope.view, self.domain);
-        let mine = tree.root() == Some(self.own_key);
+        let is_own_root = tree.root() == Some(self.own_key);
         let seen = self
             .root_seen
             .is_some_and(|round| round.run == down.round.run && round.number >= down.round.number);
-        if seen || mine {
+        if seen || is_own_root {
             return;
         }
-        self.was_root = false;
+        self.acting_root = false;
         self.heard = now;
         self.root_seen = Some(down.round);
         self.revision = self.revision.max(down.revision);
@@ -337,10 +337,10 @@
         };
         // Rounds lost in between do not matter as long as the answered one is still listed.
         let rounds = down.round.number.checked_sub(answer.round.number + 1);
-        let told = rounds
+        let listed = rounds
             .filter(|_| answer.round.run == down.round.run)
             .and_then(|rounds| down.missed.get(usize::try_from(rounds).ok()?));
-        let counted = told.is_some_and(|missed| {
+        let counted = listed.is_some_and(|missed| {
             !missed
                 .iter()
                 .any(|key| *key == self.own_key || answer.path.contains(key))
@@ -366,7 +366,7 @@
     pub fn up(&mut self, from: Key, up: &Up, scope: &mut Scope<'_>) {
         let Some(open) = self.open.as_mut().filter(|open| open.round == up.round) else {
             // A late answer or a keep-alive: the sender is alive in either case.
-            if self.was_root {
+            if self.acting_root {
                 self.misses.remove(&from);
                 scope.view.clear(from);
             }
--- a/crates/kernel/src/round/peers.rs
+++ b/crates/kernel/src/round/peers.rs
@@ -82,14 +82,14 @@
         let state = self.tally.runs.get(&self.run);
         let totals = state.map_or(&empty, |state| &state.totals);
         let domain = self.domain;
-        let told = |slot: &Slot| {
+        let included = |slot: &Slot| {
             let account = scope.book.get(slot.0, slot.1);
             let waits = state.is_some_and(|state| state.waiting.contains_key(slot));
             account.waiting > 0 || waits || ledger::rotates(scope.table, *slot, self.number)
         };
         let chosen: BTreeMap<Slot, i64> = totals
             .iter()
-            .filter(|(slot, _)| told(slot))
+            .filter(|(slot, _)| included(slot))
             .map(|(slot, units)| (*slot, *units))
             .collect();
         let none = BTreeMap::new();
@@ -182,7 +182,7 @@
         if direct {
             Self::adopt_domain_suspects(now, scope, total);
         }
-        if self.was_root {
+        if self.acting_root {
             let touched: Vec<Slot> = ledger::slots(scope.table, &total.totals)
                 .map(|(slot, _)| slot)
                 .collect();
--- a/crates/kernel/src/round/root.rs
+++ b/crates/kernel/src/round/root.rs
@@ -12,7 +12,7 @@
 
 impl Rounds {
     pub(super) fn become_root(&mut self, now: Instant, scope: &mut Scope<'_>) {
-        self.was_root = true;
+        self.acting_root = true;
         self.next = now;
         self.misses.clear();
         self.last_missed.clear();
--- a/crates/kernel/src/verify.rs
+++ b/crates/kernel/src/verify.rs
@@ -66,14 +66,17 @@
             let _ = request;
         }
     }
-    let queued: usize = kernel
+    let length: usize = kernel
         .queue()
         .lanes()
         .flat_map(|(_, backlogs)| backlogs.values())
         .map(crate::queue::Backlog::len)
         .sum();
-    if queued != waiting || kernel.queue().len() != waiting {
-        violations.push(Violation::QueueLength { queued, waiting });
+    if length != waiting || kernel.queue().len() != waiting {
+        violations.push(Violation::QueueLength {
+            queued: length,
+            waiting,
+        });
     }
     for (_, backlogs) in kernel.queue().lanes() {
         for backlog in backlogs.values() {
