--- a/crates/kernel/src/account.rs
+++ b/crates/kernel/src/account.rs
@@ -197,7 +197,7 @@
 
     /// Greatest virtual time among the customers reported waiting in a pool.
     #[must_use]
-    pub fn vanguard(&self, pool: Pool) -> Option<i64> {
+    pub fn max_virtual_time(&self, pool: Pool) -> Option<i64> {
         self.waiting[pool.row()]
             .iter()
             .map(|customer| self.virtual_time(pool, *customer))
--- a/crates/kernel/src/kernel/slots.rs
+++ b/crates/kernel/src/kernel/slots.rs
@@ -350,7 +350,7 @@
     /// Whether a customer lags so far behind that all owners should be asked.
     fn lags(&self, table: &Table, demand: &Demand) -> bool {
         let pool = table.pool(demand.lane.service);
-        let Some(greatest) = self.book.vanguard(pool) else {
+        let Some(greatest) = self.book.max_virtual_time(pool) else {
             return false;
         };
         let rank = self.book.rank(pool, demand.customer);
