--- a/crates/kernel/src/verify.rs
+++ b/crates/kernel/src/verify.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// The first request of a backlog is not waiting.
-    NotQueuedOnce(Request),
+    FrontNotWaiting(Request),
     /// The queue's length differs from the number of waiting requests.
     QueueLength {
         /// Requests in the queue.
@@ -87,7 +87,7 @@
                 .requests()
                 .any(|(request, state)| request == front && matches!(state, State::Waiting(_)));
             if !found {
-                violations.push(Violation::NotQueuedOnce(front));
+                violations.push(Violation::FrontNotWaiting(front));
             }
         }
     }
