--- a/crates/kernel/src/kernel/messages.rs
+++ b/crates/kernel/src/kernel/messages.rs
@@ -72,7 +72,9 @@
                 });
             }
             Message::Probe => {
-                self.with_rounds(now, &table, |rounds, scope| rounds.probed(from, scope));
+                self.with_rounds(now, &table, |rounds, scope| {
+                    rounds.probe_received(from, scope)
+                });
             }
             Message::Want(want) => self.owner.want(&table, from, &want),
             Message::Grant(grant) => self.apply_grant(now, &table, from, &grant),
--- a/crates/kernel/src/round/mod.rs
+++ b/crates/kernel/src/round/mod.rs
@@ -258,7 +258,7 @@
     }
 
     /// Handles a probe from a root that suspected this instance: answers that it is alive.
-    pub fn probed(&mut self, from: Key, scope: &mut Scope<'_>) {
+    pub fn probe_received(&mut self, from: Key, scope: &mut Scope<'_>) {
         scope.view.clear(from);
         scope.outbox.push((from, Message::Up(self.keep_alive())));
     }
