--- a/crates/kernel/src/kernel/messages.rs
+++ b/crates/kernel/src/kernel/messages.rs
@@ -57,7 +57,7 @@
         match message {
             Message::Down(down) => {
                 self.with_rounds(now, &table, |rounds, scope| {
-                    rounds.down(now, from, down, scope);
+                    rounds.down_received(now, from, down, scope);
                 });
                 self.owner_orders.clear();
             }
--- a/crates/kernel/src/round/mod.rs
+++ b/crates/kernel/src/round/mod.rs
@@ -302,7 +302,7 @@
     }
 
     /// Handles a round received from a parent.
-    pub fn down(&mut self, now: Instant, from: Key, down: Down, scope: &mut Scope<'_>) {
+    pub fn down_received(&mut self, now: Instant, from: Key, down: Down, scope: &mut Scope<'_>) {
         for key in &down.path {
             scope.view.clear(*key);
         }
