--- a/crates/kernel/src/kernel/messages.rs
+++ b/crates/kernel/src/kernel/messages.rs
@@ -63,7 +63,7 @@
             }
             Message::Up(up) => {
                 self.with_rounds(now, &table, |rounds, scope| {
-                    rounds.up(from, &up, scope);
+                    rounds.up_received(from, &up, scope);
                 });
             }
             Message::Total(total) => {
--- a/crates/kernel/src/round/mod.rs
+++ b/crates/kernel/src/round/mod.rs
@@ -363,7 +363,7 @@
     }
 
     /// Handles an answer of a child.
-    pub fn up(&mut self, from: Key, up: &Up, scope: &mut Scope<'_>) {
+    pub fn up_received(&mut self, from: Key, up: &Up, scope: &mut Scope<'_>) {
         let Some(open) = self.open.as_mut().filter(|open| open.round == up.round) else {
             // A late answer or a keep-alive: the sender is alive in either case.
             if self.acting_root {
