--- a/crates/kernel/src/kernel/messages.rs
+++ b/crates/kernel/src/kernel/messages.rs
@@ -73,7 +73,7 @@
             }
             Message::Probe => {
                 self.with_rounds(now, &table, |rounds, scope| {
-                    rounds.probe_received(from, scope)
+                    rounds.probe_received(from, scope);
                 });
             }
             Message::Want(want) => self.owner.want(&table, from, &want),
