--- a/crates/kernel/src/kernel/messages.rs
+++ b/crates/kernel/src/kernel/messages.rs
@@ -57,13 +57,13 @@
         match message {
             Message::Broadcast(down) => {
                 self.with_rounds(now, &table, |rounds, scope| {
-                    rounds.down(now, from, down, scope);
+                    rounds.down_received(now, from, down, scope);
                 });
                 self.owner_orders.clear();
             }
             Message::Aggregate(up) => {
                 self.with_rounds(now, &table, |rounds, scope| {
-                    rounds.up(from, &up, scope);
+                    rounds.up_received(from, &up, scope);
                 });
             }
             Message::Total(total) => {
@@ -72,7 +72,9 @@
                 });
             }
             Message::Probe => {
-                self.with_rounds(now, &table, |rounds, scope| rounds.probed(from, scope));
+                self.with_rounds(now, &table, |rounds, scope| {
+                    rounds.probe_received(from, scope);
+                });
             }
             Message::Demand(demand) => self.owner.record_demand(&table, from, &demand),
             Message::Grant(grant) => self.apply_grant(now, &table, from, &grant),
