--- a/crates/kernel/src/kernel/entry.rs
+++ b/crates/kernel/src/kernel/requests.rs
@@ -1,4 +1,4 @@
-//! Callers' requests: from arrival to the last answer.
+//! Lifecycle of callers' requests, from arrival to the final answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,26 +9,31 @@
 use crate::event::{Arrival, Class, Outcome};
 use crate::id::{Request, Service, Target};
 use crate::queue::Lane;
-use crate::request::{self, Failed, Life, Sent, Waiting};
+use crate::request::{self, Decision, Sent, State, Waiting};
 use crate::retry;
 use crate::table::Table;
 use crate::time::Instant;
 use crate::verdict::{Failure, Refusal, Verdict};
 
-/// What a caller is told to wait when its queue is full or this router drains.
+/// Delay suggested to the caller after a refusal that may be temporary.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What failed, for the caller's last answer.
+/// Verdict and cause of a failed attempt.
 #[derive(Clone, Copy)]
-struct Broken {
+struct AttemptFailure {
     verdict: Verdict,
     failure: Failure,
 }
 
 impl Kernel {
-    pub(super) fn arrive(&mut self, now: Instant, arrival: Arrival, actions: &mut Vec<Action>) {
+    pub(super) fn handle_arrival(
+        &mut self,
+        now: Instant,
+        arrival: Arrival,
+        actions: &mut Vec<Action>,
+    ) {
         let request = arrival.request;
-        if let Err(refusal) = self.admit(&arrival) {
+        if let Err(refusal) = self.check_admission(&arrival) {
             actions.push(Action::Refuse {
                 request,
                 refusal,
@@ -49,12 +54,12 @@
         self.deadlines.insert((deadline, request));
         let waiting = request::Request::new(arrival, now);
         self.enqueue(&waiting, false);
-        self.tell_at = now;
-        self.requests.insert(request, Life::Waiting(waiting));
+        self.send_wants_at = now;
+        self.requests.insert(request, State::Waiting(waiting));
     }
 
-    /// Why a request is refused on arrival, if it is.
-    fn admit(&self, arrival: &Arrival) -> Result<(), Refusal> {
+    /// Checks whether a request can be queued; the error is the reason for its refusal.
+    fn check_admission(&self, arrival: &Arrival) -> Result<(), Refusal> {
         if self.draining.is_some() {
             return Err(Refusal::Draining);
         }
@@ -69,11 +74,11 @@
             .get(arrival.service.row())
             .filter(|row| row.live)
             .ok_or(Refusal::ServiceRemoved)?;
-        let able = service.targets.iter().any(|target| {
-            table.targets[target.row()].open()
+        let servable = service.targets.iter().any(|target| {
+            table.targets[target.row()].accepts_work()
                 && table.serves(*target, arrival.service, arrival.model)
         });
-        if !able {
+        if !servable {
             return Err(Refusal::NoTarget);
         }
         if self.queue.count(arrival.customer) >= table.queue_limit {
@@ -82,7 +87,7 @@
         Ok(())
     }
 
-    fn enqueue(&mut self, request: &request::Request<Waiting>, again: bool) {
+    fn enqueue(&mut self, request: &request::Request<Waiting>, at_front: bool) {
         let arrival = &request.arrival;
         let lane = lane(arrival);
         let class = if self.settings.quick_first {
@@ -90,7 +95,7 @@
         } else {
             Class::Long
         };
-        if again {
+        if at_front {
             self.queue
                 .push_front(lane, arrival.customer, class, arrival.request);
         } else {
@@ -112,7 +117,7 @@
         }
     }
 
-    /// Sends a waiting request to a target on a slot held here.
+    /// Dispatches a waiting request to a target, on a slot held by this router.
     pub(super) fn dispatch(
         &mut self,
         now: Instant,
@@ -120,7 +125,7 @@
         target: Target,
         actions: &mut Vec<Action>,
     ) {
-        let Some(Life::Waiting(waiting)) = self.requests.remove(&request) else {
+        let Some(State::Waiting(waiting)) = self.requests.remove(&request) else {
             return;
         };
         self.dequeue(&waiting.arrival);
@@ -130,17 +135,17 @@
         let pool = self.pool(service);
         self.book.charge(pool, customer, meter.admit());
         self.holder.occupy(target, customer);
-        self.holder.note_sent(now, lane(arrival));
+        self.holder.record_dispatch(now, lane(arrival));
         let sent = waiting.send(now, target, meter);
         actions.push(Action::Dispatch {
             request,
             attempt: sent.attempts,
             target,
         });
-        self.requests.insert(request, Life::Sent(sent));
+        self.requests.insert(request, State::Sent(sent));
     }
 
-    /// The cost that a request is expected to have, in units.
+    /// Estimated cost of a request, in units.
     pub(super) fn estimate(&self, arrival: &Arrival) -> u64 {
         let prior = self
             .table
@@ -153,13 +158,15 @@
             .get(arrival.hint.unwrap_or(prior))
     }
 
-    /// What a request is charged ahead of its use, in units.
+    /// Amount reserved for a request before it has used any service, in units.
     pub(super) fn reservation(&self, arrival: &Arrival) -> u64 {
-        self.estimate(arrival).saturating_mul(self.settings.reserve) / 1_000
+        self.estimate(arrival)
+            .saturating_mul(self.settings.reserve_permille)
+            / 1_000
     }
 
-    pub(super) fn progress(&mut self, request: Request, attempt: u32, units: u64) {
-        let Some(Life::Sent(sent)) = self.requests.get_mut(&request) else {
+    pub(super) fn record_progress(&mut self, request: Request, attempt: u32, units: u64) {
+        let Some(State::Sent(sent)) = self.requests.get_mut(&request) else {
             self.dropped.late_events += 1;
             return;
         };
@@ -173,14 +180,14 @@
         self.book.charge(pool, customer, amount);
     }
 
-    /// Takes a sent request off its slot and settles its charge.
-    fn unload(
+    /// Frees the slot of a sent request and settles its charge.
+    fn release_slot(
         &mut self,
         now: Instant,
         request: Request,
         units: u64,
     ) -> Option<request::Request<Sent>> {
-        let Some(Life::Sent(mut sent)) = self.requests.remove(&request) else {
+        let Some(State::Sent(mut sent)) = self.requests.remove(&request) else {
             return None;
         };
         let pool = self.pool(sent.arrival.service);
@@ -193,7 +200,7 @@
         Some(sent)
     }
 
-    pub(super) fn end(
+    pub(super) fn handle_end(
         &mut self,
         now: Instant,
         request: Request,
@@ -203,31 +210,31 @@
     ) {
         let current = matches!(
             self.requests.get(&request),
-            Some(Life::Sent(sent)) if sent.attempts == attempt
+            Some(State::Sent(sent)) if sent.attempts == attempt
         );
         if !current {
             self.dropped.late_events += 1;
             return;
         }
         match outcome {
-            Outcome::Whole { units } => self.complete(now, request, units, actions),
+            Outcome::Completed { units } => self.complete(now, request, units, actions),
             Outcome::Failed {
                 verdict,
                 failure,
                 units,
                 delivered,
             } => {
-                let broken = Broken { verdict, failure };
-                self.fail(now, request, units, broken, delivered, actions);
+                let cause = AttemptFailure { verdict, failure };
+                self.fail(now, request, units, cause, delivered, actions);
             }
         }
     }
 
     fn complete(&mut self, now: Instant, request: Request, units: u64, actions: &mut Vec<Action>) {
-        let Some(sent) = self.unload(now, request, units) else {
+        let Some(sent) = self.release_slot(now, request, units) else {
             return;
         };
-        self.health.succeed(sent.stage.target);
+        self.health.record_success(sent.stage.target);
         self.estimates
             .entry((sent.arrival.service, sent.arrival.customer))
             .or_default()
@@ -240,55 +247,56 @@
         now: Instant,
         request: Request,
         units: u64,
-        broken: Broken,
+        cause: AttemptFailure,
         delivered: bool,
         actions: &mut Vec<Action>,
     ) {
-        let Some(sent) = self.unload(now, request, units) else {
+        let Some(sent) = self.release_slot(now, request, units) else {
             return;
         };
-        let refused = broken.verdict == Verdict::NotRun;
-        if broken.failure != Failure::Cancelled {
-            self.health.fail(now, sent.stage.target, refused);
+        let refused = cause.verdict == Verdict::NotRun;
+        if cause.failure != Failure::Cancelled {
+            self.health.record_failure(now, sent.stage.target, refused);
         }
-        // The budget and the count of attempts are for when nothing works.
-        let elsewhere = refused && self.works_elsewhere(now, sent.arrival.service);
+        // A request that did not run is retried outside the retry budget and the limit of
+        // attempts while another target is usable; these are for when no target works.
+        let other_usable = refused && self.has_usable_target(now, sent.arrival.service);
         let unsent = matches!(
-            broken.failure,
+            cause.failure,
             Failure::ConnectRefused | Failure::ConnectTimeout
         );
-        let free = elsewhere || unsent;
-        let most = if unsent {
-            retry::MOST_UNSENT
+        let budget_exempt = other_usable || unsent;
+        let max_attempts = if unsent {
+            retry::MAX_UNSENT_ATTEMPTS
         } else {
-            retry::MOST_ATTEMPTS
+            retry::MAX_ATTEMPTS
         };
-        let tired = !elsewhere && sent.attempts >= most;
-        let worst = sent.worst.max(broken.verdict);
-        match sent.failed(broken.verdict, delivered) {
-            Failed::Again(waiting) if !tired && (free || self.budget.spend()) => {
-                let wait = retry::wait(self.settings.seed, request, waiting.attempts);
-                self.backoffs.insert((now + wait, request));
-                self.requests.insert(request, Life::Backoff(waiting));
+        let exhausted = !other_usable && sent.attempts >= max_attempts;
+        let worst = sent.worst_verdict.max(cause.verdict);
+        match sent.failed(cause.verdict, delivered) {
+            Decision::Retry(waiting) if !exhausted && (budget_exempt || self.budget.spend()) => {
+                let backoff = retry::backoff(self.settings.seed, request, waiting.attempts);
+                self.backoffs.insert((now + backoff, request));
+                self.requests.insert(request, State::Backoff(waiting));
                 actions.push(Action::Retry {
                     request,
-                    failure: broken.failure,
+                    failure: cause.failure,
                 });
             }
-            Failed::Again(_) if !tired => {
+            Decision::Retry(_) if !exhausted => {
                 self.refuse(
                     request,
                     Refusal::RetryBudget,
-                    Some(broken.failure),
+                    Some(cause.failure),
                     worst,
                     actions,
                 );
             }
-            Failed::Again(_) | Failed::Over => {
+            Decision::Retry(_) | Decision::Stop => {
                 self.refuse(
                     request,
                     Refusal::TargetFailed,
-                    Some(broken.failure),
+                    Some(cause.failure),
                     worst,
                     actions,
                 );
@@ -296,8 +304,8 @@
         }
     }
 
-    /// Whether some target of a service is there to be tried.
-    fn works_elsewhere(&self, now: Instant, service: Service) -> bool {
+    /// Whether a target of a service accepts work and is not ejected.
+    fn has_usable_target(&self, now: Instant, service: Service) -> bool {
         self.table
             .as_ref()
             .is_some_and(|table| !self.health.all_ejected(now, table, service))
@@ -309,25 +317,30 @@
                 return;
             }
             self.backoffs.pop_first();
-            if let Some(Life::Backoff(waiting)) = self.requests.remove(&request) {
+            if let Some(State::Backoff(waiting)) = self.requests.remove(&request) {
                 self.enqueue(&waiting, true);
-                self.requests.insert(request, Life::Waiting(waiting));
+                self.requests.insert(request, State::Waiting(waiting));
             }
         }
     }
 
-    pub(super) fn leave(&mut self, now: Instant, request: Request, actions: &mut Vec<Action>) {
+    pub(super) fn cancel_request(
+        &mut self,
+        now: Instant,
+        request: Request,
+        actions: &mut Vec<Action>,
+    ) {
         match self.requests.get(&request) {
-            Some(Life::Sent(sent)) => {
+            Some(State::Sent(sent)) => {
                 let (attempt, used) = (sent.attempts, sent.stage.meter.used());
                 actions.push(Action::Cancel { request, attempt });
-                self.unload(now, request, used);
+                self.release_slot(now, request, used);
             }
-            Some(Life::Waiting(waiting)) => {
+            Some(State::Waiting(waiting)) => {
                 let arrival = waiting.arrival.clone();
                 self.dequeue(&arrival);
             }
-            Some(Life::Backoff(_)) => {}
+            Some(State::Backoff(_)) => {}
             None => {
                 self.dropped.late_events += 1;
                 return;
@@ -337,7 +350,7 @@
         self.forget(request, actions);
     }
 
-    /// Ends what has passed its deadline or waited too long.
+    /// Ends requests that are past their deadline or the queue timeout.
     pub(super) fn expire(&mut self, now: Instant, table: &Arc<Table>, actions: &mut Vec<Action>) {
         while let Some((at, request)) = self.deadlines.first().copied() {
             if at > now {
@@ -355,15 +368,17 @@
         request: Request,
         actions: &mut Vec<Action>,
     ) {
-        let Some(life) = self.requests.get(&request) else {
+        let Some(state) = self.requests.get(&request) else {
             return;
         };
-        let (arrival, worst) = match life {
-            Life::Waiting(request) | Life::Backoff(request) => (&request.arrival, request.worst),
-            Life::Sent(request) => (&request.arrival, Verdict::MayHaveRun),
+        let (arrival, worst) = match state {
+            State::Waiting(request) | State::Backoff(request) => {
+                (&request.arrival, request.worst_verdict)
+            }
+            State::Sent(request) => (&request.arrival, Verdict::MayHaveRun),
         };
         let deadline = arrival.deadline.filter(|deadline| *deadline <= now);
-        if let Life::Sent(sent) = life {
+        if let State::Sent(sent) = state {
             let Some(deadline) = sent.arrival.deadline else {
                 return;
             };
@@ -373,7 +388,7 @@
             }
             let (attempt, used) = (sent.attempts, sent.stage.meter.used());
             actions.push(Action::Cancel { request, attempt });
-            self.unload(now, request, used);
+            self.release_slot(now, request, used);
             self.refuse(request, Refusal::DeadlinePassed, None, worst, actions);
             return;
         }
@@ -413,7 +428,7 @@
     }
 }
 
-/// What a request needs of a target.
+/// The lane of a request.
 pub(super) fn lane(arrival: &Arrival) -> Lane {
     Lane {
         service: arrival.service,
--- a/crates/kernel/src/round/root.rs
+++ b/crates/kernel/src/round/root.rs
@@ -4,7 +4,7 @@
 use super::tree::Tree;
 use super::{IDLE, NAMED, Open, Rounds, Scope, book, limit, silence};
 use crate::key::Key;
-use crate::message::{Down, Message, Round};
+use crate::message::{Broadcast, Message, Round};
 use crate::time::Instant;
 
 impl Rounds {
@@ -36,7 +36,7 @@
         if self.open.is_some() {
             self.close(now, scope);
         }
-        self.next = now + scope.settings.round;
+        self.next = now + scope.settings.round_interval;
         self.heard = now;
         self.number += 1;
         self.publish(now, scope);
@@ -44,7 +44,7 @@
             run: self.run,
             number: self.number,
         };
-        let down = Down {
+        let down = Broadcast {
             round,
             path: Vec::new(),
             missed: self.last_missed.iter().cloned().collect(),
--- a/crates/path/src/node.rs
+++ b/crates/path/src/node.rs
@@ -1,7 +1,6 @@
 //! A router: its settings, its views, its state.
 //!
-//! Borrows of the state end before anything is woken or dropped that could
-//! borrow it again.
+//! Borrows of the state end before anything is woken or dropped that could borrow it again.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -23,108 +22,109 @@
 use tokio::time::Instant;
 
 use crate::clock::Clock;
-use crate::courier::Courier;
 use crate::dialect::Dialect;
 use crate::gossip::{self, Gossip};
-use crate::inbox::Buffer;
+use crate::inbound::Buffer;
 use crate::journal::{Journal, Line, millis};
 use crate::metrics::Metrics;
+use crate::outbound::Socket;
+use crate::overload::Detector;
 use crate::pending::Pending;
 use crate::pool::Pool;
-use crate::quarantine::Unwritten;
+use crate::quarantine::WriteQueue;
 use crate::settings::Settings;
 use crate::state::State;
-use crate::strain::Strain;
-use crate::view::Fetching;
-use crate::wake::Wake;
+use crate::suspension::Monitor;
+use crate::view::Fetches;
 
-/// Time after its start for which a router waits to hear what is quarantined before it is ready: peers
-/// tell it with their first greeting, and the store within its answer.
-const UNHEARD: Duration = Duration::from_secs(5);
+/// Time after its start up to which a router waits for the quarantine before it is ready: peers
+/// send it after their first heartbeat, and the store within its answer.
+const QUARANTINE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time after its start for which a router waits to hear from a peer that it lacks no configuration and
-/// no evacuation: a store that came back from a copy may tell older ones. Peers answer the first
-/// greeting, within some 0.2 s; who knows of none goes on alone.
-const UNCOMPARED: Duration = Duration::from_secs(2);
+/// Time after its start up to which a router waits for a peer's views, to learn that it lacks no
+/// configuration and no evacuation: a store that was restored from a copy may return older ones.
+/// Peers answer the first heartbeat within some 0.2 s; a router that knows of no peers continues
+/// alone.
+const COMPARISON_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Unknown regions that a line names.
-const NAMED: usize = 4;
+/// Unknown regions that are named in a log line.
+const MAX_NAMED_REGIONS: usize = 4;
 
 /// Source of a view that this router has read from the store itself.
 pub const STORE: &str = "store";
 
 /// A list of all targets.
 #[derive(Clone, Debug)]
-pub struct List {
+pub struct TargetList {
     /// The targets.
     pub targets: Vec<Target>,
-    /// Identities whose entries can't be read.
+    /// Identities whose entries can't be decoded.
     pub unreadable: Vec<Arc<str>>,
-    /// When it was true.
+    /// When it was current.
     pub as_of: Duration,
-    /// Whether what it lacks has surely ended: it is of a router that saw no outage.
+    /// Whether targets that it lacks have certainly ended: its router saw no outage of the store.
     pub settled: bool,
-    /// The reading of a peer that it comes from; none if this router has read it itself.
+    /// The peer's reading that it comes from; none if this router has read it itself.
     pub reading: Option<Reading>,
-    /// Where the store's log goes on behind it.
+    /// Position in the store's log up to which it is complete.
     pub position: Option<Position>,
 }
 
-/// What a peer's list of targets has that this router's has not.
+/// The difference between a peer's list of targets and this router's.
 #[derive(Clone, Debug)]
-pub struct Told {
-    /// The entries.
+pub struct PeerDelta {
+    /// The entries that differ.
     pub delta: Delta,
-    /// Whether what its list lacks has surely ended: it saw no outage.
+    /// Whether targets that the peer's list lacks have certainly ended: it saw no outage.
     pub settled: bool,
-    /// The reading that its list is of.
+    /// The reading of the peer's list.
     pub reading: Reading,
-    /// Where the store's log goes on behind it.
+    /// Position in the store's log up to which the peer's list is complete.
     pub position: Option<Position>,
-    /// When it was true.
+    /// When the peer's list was current.
     pub as_of: Duration,
 }
 
 /// A router.
 pub struct Node {
-    /// What it was told.
+    /// Its settings.
     pub settings: Settings,
-    /// Translates heads.
+    /// Translates heads of requests and answers.
     pub dialect: Rc<dyn Dialect>,
     /// Its log.
     pub journal: Journal,
-    /// Its counters.
+    /// Its metrics.
     pub metrics: Metrics,
     /// Its connections to targets.
     pub pool: Pool,
     /// Identity of this start.
     pub peer: Peer,
-    pub(crate) courier: Courier,
-    pub(crate) inbox: Buffer,
+    pub(crate) outbound: Socket,
+    pub(crate) inbound: Buffer,
     pub(crate) gossip: Gossip,
-    pub(crate) fetching: Fetching,
+    pub(crate) fetches: Fetches,
     pub(crate) pending: Pending,
-    pub(crate) strain: Strain,
+    pub(crate) overload: Detector,
     pub(crate) state: RefCell<State>,
-    /// Entries that the store is to keep.
-    pub(crate) unwritten: Unwritten,
+    /// Quarantine entries that are to be written to the store.
+    pub(crate) quarantine_writes: WriteQueue,
     pub(crate) clock: Clock,
-    pub(crate) wake: Wake,
-    pub(crate) room: Notify,
+    pub(crate) suspensions: Monitor,
+    pub(crate) capacity: Notify,
     draws: Cell<u64>,
-    /// Callers' connections that are open.
+    /// Open connections of callers.
     pub(crate) open: Cell<usize>,
     leaving: watch::Sender<Option<Duration>>,
 }
 
 impl Node {
-    /// A router that knows nothing yet.
+    /// A router without any views.
     #[must_use]
     pub fn new(settings: Settings, dialect: Rc<dyn Dialect>) -> Rc<Self> {
         Self::with_clock(settings, dialect, Clock::new())
     }
 
-    /// The same by another clock.
+    /// The same with another clock.
     #[must_use]
     pub fn with_clock(settings: Settings, dialect: Rc<dyn Dialect>, clock: Clock) -> Rc<Self> {
         let journal = Journal::new(&settings.name);
@@ -136,17 +136,17 @@
             metrics: Metrics::default(),
             pool: Pool::new(),
             peer,
-            courier: Courier::default(),
-            inbox: Buffer::default(),
+            outbound: Socket::default(),
+            inbound: Buffer::default(),
             gossip: Gossip::default(),
-            fetching: Fetching::default(),
+            fetches: Fetches::default(),
             pending: Pending::default(),
-            strain: Strain::default(),
+            overload: Detector::default(),
             state: RefCell::new(state),
-            unwritten: Unwritten::default(),
+            quarantine_writes: WriteQueue::default(),
             clock,
-            wake: Wake::default(),
-            room: Notify::new(),
+            suspensions: Monitor::default(),
+            capacity: Notify::new(),
             draws: Cell::new(rand::random()),
             open: Cell::new(0),
             leaving: watch::Sender::new(None),
@@ -160,23 +160,23 @@
         self.clock.now()
     }
 
-    /// A moment as the runtime counts it.
+    /// A moment on the runtime's clock.
     #[must_use]
     pub fn instant(&self, at: Duration) -> Instant {
         self.clock.instant(at)
     }
 
-    /// A number that is spread over all values.
-    pub fn draw(&self) -> u64 {
+    /// A pseudorandom number, uniform over all values.
+    pub fn random(&self) -> u64 {
         let next = self.draws.get().wrapping_add(0x9e37_79b9_7f4a_7c15);
         self.draws.set(next);
         xxhash_rust::xxh64::xxh64(&next.to_le_bytes(), 0)
     }
 
-    /// A part of one, drawn anew, in thousandths.
-    pub fn draw_part(&self) -> f64 {
+    /// A pseudorandom fraction from 0 up to, but not including, 1, in steps of a thousandth.
+    pub fn random_fraction(&self) -> f64 {
         const STEPS: u32 = 1_000;
-        let step = u32::try_from(self.draw() % u64::from(STEPS)).unwrap_or_default();
+        let step = u32::try_from(self.random() % u64::from(STEPS)).unwrap_or_default();
         f64::from(step) / f64::from(STEPS)
     }
 
@@ -186,18 +186,18 @@
         self.state.borrow().table.clone()
     }
 
-    /// When this router began to end.
+    /// When this router began to shut down.
     #[must_use]
-    pub fn leaving(&self) -> Option<Duration> {
+    pub fn leaving_since(&self) -> Option<Duration> {
         *self.leaving.borrow()
     }
 
-    /// Begins to end: not ready, no more kept connections.
+    /// Begins to shut down: the router is not ready any more, and closes kept-alive connections.
     pub fn leave(&self) {
         let now = self.now();
         self.leaving.send_replace(Some(now));
         self.state.borrow_mut().leave();
-        gossip::spread(self);
+        gossip::push_views(self);
     }
 
     pub(crate) fn watch_leaving(&self) -> watch::Receiver<Option<Duration>> {
@@ -209,32 +209,36 @@
     pub fn ready(&self) -> bool {
         let state = self.state.borrow();
         let known = state.table.is_some() && state.registry.read_at().is_some();
-        // What the others refuse must not find the one router that has not heard of it yet.
-        let known = known && (state.quarantine_known || self.now() >= UNHEARD);
-        let known = known && (state.compared || self.alone() || self.now() >= UNCOMPARED);
-        let sound = self.leaving().is_none() && !self.strain.behind();
+        // A content that other routers refuse must not pass through a router that has not received
+        // the quarantine yet.
+        let known = known && (state.quarantine_known || self.now() >= QUARANTINE_TIMEOUT);
+        let known = known
+            && (state.compared_with_peer
+                || self.has_no_peers()
+                || self.now() >= COMPARISON_TIMEOUT);
+        let sound = self.leaving_since().is_none() && !self.overload.is_overloaded();
         drop(state);
-        known && sound && self.confirmed_since_wake()
+        known && sound && self.views_confirmed()
     }
 
-    /// Whether no other router is named to this one.
-    fn alone(&self) -> bool {
+    /// Whether the settings name no other router.
+    fn has_no_peers(&self) -> bool {
         let own = self.settings.link;
         self.settings.seeds.iter().all(|it| *it == own)
     }
 
-    /// Takes a configuration; an older one than that in force is ignored.
-    pub fn take_configuration(&self, configuration: Configuration, source: &str) {
+    /// Applies a configuration; one that is not newer than that in force is ignored.
+    pub fn apply_configuration(&self, configuration: Configuration, source: &str) {
         let version = configuration.version;
         let before = self.table().map(|it| it.version());
         if before.is_some_and(|it| it >= version) {
             return;
         }
         let table = Rc::new(Table::new(configuration));
-        self.tell_unknown_regions(&table);
+        self.log_unknown_regions(&table);
         {
             let mut state = self.state.borrow_mut();
-            state.tries.retain(|name| table.serves(name));
+            state.retries.retain(|name| table.serves(name));
             state.table = Some(table);
         }
         let line = self.journal.line("configuration_taken");
@@ -244,12 +248,13 @@
                 .with("source", source),
         );
         self.metrics.add("configurations", source, 1);
-        gossip::spread(self);
-        self.room_came();
+        gossip::push_views(self);
+        self.notify_capacity();
     }
 
-    /// Routes and customers that are bound only to regions that no failure domain is in run nowhere.
-    fn tell_unknown_regions(&self, table: &Table) {
+    /// Logs regions that contain no failure domain: routes and customers that are restricted to
+    /// such regions run nowhere.
+    fn log_unknown_regions(&self, table: &Table) {
         let regions = &self.settings.regions;
         let unknown = table.named_regions().filter(|it| !regions.contains(it));
         let unknown: BTreeSet<_> = unknown.map(AsRef::as_ref).collect();
@@ -258,68 +263,71 @@
         }
         let line = self.journal.line("regions_unknown");
         let line = line.with("count", unknown.len());
-        let named = unknown.into_iter().take(NAMED).map(ToString::to_string);
+        let named = unknown
+            .into_iter()
+            .take(MAX_NAMED_REGIONS)
+            .map(ToString::to_string);
         let named: Vec<_> = named.collect();
         drop(line.with("first", named));
     }
 
-    /// This router has read that the configuration in force is the store's newest.
+    /// Records that this router has read the configuration in force as the store's newest.
     pub fn confirm_configuration(&self) {
         let now = self.now();
         self.state.borrow_mut().configuration_reads.record(now);
     }
 
-    /// Whether others that start ask this router first.
+    /// Whether routers that start contact this router first.
     #[must_use]
     pub fn is_seed(&self) -> bool {
         self.settings.seeds.contains(&self.settings.link)
     }
 
-    /// When the configuration in force was the store's newest.
+    /// When the configuration in force was last known to be the store's newest.
     #[must_use]
     pub fn configuration_at(&self) -> Option<Duration> {
-        self.look_for_wake();
+        self.detect_suspension();
         self.state.borrow().configuration_reads.at()
     }
 
-    /// How long ago that was.
+    /// Time since [`configuration_at`](Self::configuration_at).
     #[must_use]
     pub fn configuration_age(&self) -> Option<Duration> {
         let at = self.configuration_at();
         at.map(|at| self.now().saturating_sub(at))
     }
 
-    /// How many routers come before this one in a duty.
+    /// Number of routers that precede this one in a duty.
     #[must_use]
     pub fn rank(&self, duty: Duty, scope: Scope) -> usize {
         self.state.borrow().members.rank(duty, scope)
     }
 
-    /// The same, but for a router that hears nobody: those before it tell it nothing.
+    /// The same, but zero for an isolated router, as those before it tell it nothing.
     #[must_use]
-    pub fn rank_heard(&self, duty: Duty, scope: Scope) -> usize {
+    pub fn rank_unless_isolated(&self, duty: Duty, scope: Scope) -> usize {
         if self.state.borrow().membership.is_isolated(self.now()) {
             return 0;
         }
         self.rank(duty, scope)
     }
 
-    /// Routers that are known to be alive, this one included.
+    /// Number of routers that are known to be alive, this one included.
     #[must_use]
     pub fn routers(&self) -> usize {
         self.state.borrow().members.count()
     }
 
-    /// How long ago a router was lost; none if none was.
+    /// Time since a router was last lost; none if none was.
     #[must_use]
-    pub fn lost_since(&self) -> Option<Duration> {
+    pub fn time_since_loss(&self) -> Option<Duration> {
         let lost_at = self.gossip.lost_at();
         lost_at.map(|at| self.now().saturating_sub(at))
     }
 
-    /// Places at targets that this router's requests have now.
+    /// Places at targets that this router's requests hold.
     #[must_use]
-    pub fn places(&self) -> usize {
+    pub fn held_places(&self) -> usize {
         let state = self.state.borrow();
         let running = state
             .usage
@@ -328,19 +336,20 @@
         running.sum()
     }
 
-    /// Whether the way to a target may be cut, so that only a new connection proves it.
+    /// Whether the network to a target may be partitioned, so that only a new connection proves it
+    /// reachable.
     #[must_use]
-    pub fn doubtful(&self, target: &Target) -> bool {
+    pub fn may_be_partitioned(&self, target: &Target) -> bool {
         self.state
             .borrow()
-            .reach
+            .reachability
             .may_be_partitioned(&target.domain, self.now())
     }
 
-    /// Notes how an exchange with a target went.
-    pub fn note(&self, target: &Target, outcome: Outcome) {
+    /// Records the outcome of an exchange with a target.
+    pub fn record_outcome(&self, target: &Target, outcome: Outcome) {
         let now = self.now();
-        let ejected = self.state.borrow_mut().note(target, outcome, now);
+        let ejected = self.state.borrow_mut().record_outcome(target, outcome, now);
         if ejected {
             self.pool.close(target.tag());
             self.metrics.add("ejections", &target.service, 1);
@@ -352,8 +361,8 @@
         }
     }
 
-    /// Takes one repeat from the budget of a service.
-    pub fn may_repeat(&self, service: &Arc<str>) -> bool {
+    /// Takes one retry from the budget of a service.
+    pub fn try_take_retry(&self, service: &Arc<str>) -> bool {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let routers = state.members.count();
@@ -363,22 +372,22 @@
         allowed
     }
 
-    /// Room may have come for requests that wait.
-    pub fn room_came(&self) {
+    /// Wakes the queue, as capacity may have become available for requests that wait.
+    pub fn notify_capacity(&self) {
         if !self.state.borrow().queue.is_empty() {
-            self.room.notify_one();
+            self.capacity.notify_one();
         }
     }
 
-    /// How a customer stands against the others.
+    /// Standing of a customer among the others.
     #[must_use]
     pub fn standing(&self, customer: CustomerTag) -> Standing {
         let now = self.now();
         self.state.borrow_mut().shares.standing(customer, now)
     }
 
-    /// A line on what is known, for a request's story.
-    pub(crate) fn views(&self, line: Line) -> Line {
+    /// Adds the versions and ages of the views to a request's log line.
+    pub(crate) fn with_views(&self, line: Line) -> Line {
         let state = self.state.borrow();
         let age = state
             .registry
--- a/crates/path/src/quarantine.rs
+++ b/crates/path/src/quarantine.rs
@@ -1,5 +1,5 @@
-//! What this router knows of contents under which targets ended: how it learns, whom it tells, and what
-//! operators see and lift.
+//! Records of contents under which targets terminated: how this router learns about and shares
+//! them, and the operators' interface to list and lift quarantines.
 
 use dunlinward_dispatch::content::{ContentTag, Digest};
 use dunlinward_dispatch::quarantine::{Change, Entry, Finding, SUSPECT_ENDS, Status};
@@ -9,14 +9,14 @@
 use crate::gossip;
 use crate::node::Node;
 
-/// Entries that the store is to keep, on their way to whoever writes them.
+/// Queue of entries to be written to the store.
 #[derive(Debug)]
-pub(crate) struct Unwritten {
+pub(crate) struct WriteQueue {
     sender: mpsc::UnboundedSender<Entry>,
     receiver: Mutex<mpsc::UnboundedReceiver<Entry>>,
 }
 
-impl Default for Unwritten {
+impl Default for WriteQueue {
     fn default() -> Self {
         let (sender, receiver) = mpsc::unbounded_channel();
         Self {
@@ -26,8 +26,8 @@
     }
 }
 
-/// Takes findings, this router's or a peer's.
-pub(crate) fn hear(node: &Node, findings: &[Finding]) {
+/// Applies findings of this router or a peer.
+pub(crate) fn receive_findings(node: &Node, findings: &[Finding]) {
     for finding in findings {
         let change = node
             .state
@@ -35,14 +35,14 @@
             .quarantine
             .apply(*finding, node.now());
         if let Some(change) = change {
-            to_be_written(node, finding.content, change);
-            tell_change(node, finding.content, Some(finding.target), change);
+            queue_write(node, finding.content, change);
+            report_change(node, finding.content, Some(finding.target), change);
         }
     }
 }
 
-/// A content was answered.
-pub(crate) fn answered(node: &Node, content: ContentTag) {
+/// Records that a content was answered.
+pub(crate) fn record_answer(node: &Node, content: ContentTag) {
     let now = node.now();
     let (digest, change) = {
         let mut state = node.state.borrow_mut();
@@ -50,13 +50,13 @@
         (digest, state.quarantine.record_answer(content, now))
     };
     if let (Some(digest), Some(change)) = (digest, change) {
-        to_be_written(node, digest, change);
-        tell_change(node, digest, None, change);
+        queue_write(node, digest, change);
+        report_change(node, digest, None, change);
     }
 }
 
-/// Keeps in mind that the store is to be told of a quarantine that this router began or ended.
-fn to_be_written(node: &Node, content: Digest, change: Change) {
+/// Queues the entry of a quarantine that this router started or ended for writing to the store.
+fn queue_write(node: &Node, content: Digest, change: Change) {
     let now = node.now();
     let state = node.state.borrow();
     let mut entries = state.quarantine.entries(now);
@@ -64,13 +64,13 @@
     let Some(entry) = entry.filter(|_| !matches!(change, Change::EndRecorded(_))) else {
         return;
     };
-    if node.unwritten.sender.send(entry).is_err() {
-        // Its receiver lives as long as the router.
+    if node.quarantine_writes.sender.send(entry).is_err() {
+        // The receiver lives as long as the router.
         node.metrics.add("contents", "not_written", 1);
     }
 }
 
-fn tell_change(node: &Node, content: Digest, target: Option<Tag>, change: Change) {
+fn report_change(node: &Node, content: Digest, target: Option<Tag>, change: Change) {
     let (event, ends) = match change {
         Change::EndRecorded(ends) => ("content_charged", ends),
         Change::Quarantined(ends) => ("content_quarantined", ends),
@@ -86,42 +86,44 @@
     let line = line.with("ends", ends);
     let line = line.with("target", target.map(|it| it.id.to_string()));
     drop(line.with("quarantined", quarantined));
-    // A first end is the owner's alone to know.
+    // A first termination is not shared: only the owner of the target's cell needs it.
     if !matches!(change, Change::EndRecorded(ends) if ends < SUSPECT_ENDS) {
-        gossip::spread(node);
+        gossip::push_views(node);
     }
 }
 
 impl Node {
-    /// Takes what another router, or the store, tells of contents under which targets ended.
-    pub fn take_quarantine(&self, entries: &[Entry]) {
+    /// Merges the entries of another router or the store.
+    pub fn merge_quarantine(&self, entries: &[Entry]) {
         self.state.borrow_mut().quarantine_known = true;
         for entry in entries {
             let change = self.state.borrow_mut().quarantine.merge(entry, self.now());
             let Some(change) = change else {
                 continue;
             };
-            // Who tells of a quarantine has it written. This one is the sum of what both knew.
+            // Whoever reports a quarantine has it written. This one results only from merging the
+            // terminations that both sides knew.
             if !entry.confirmed && matches!(change, Change::Quarantined(_)) {
-                to_be_written(self, entry.content, change);
+                queue_write(self, entry.content, change);
             }
-            tell_change(self, entry.content, None, change);
+            report_change(self, entry.content, None, change);
         }
     }
 
-    /// An operator says that a content is sound; false if nothing is held against it.
-    pub(crate) fn lift(&self, content: Digest) -> bool {
-        if self.standing_of(content) == Status::Free {
+    /// Lifts a quarantine on behalf of an operator; returns `false` if nothing is recorded against
+    /// the content.
+    pub(crate) fn lift_quarantine(&self, content: Digest) -> bool {
+        if self.content_status(content) == Status::Free {
             return false;
         }
         let line = self.journal.line("quarantine_lifted");
         drop(line.with("content", content.to_string()));
-        answered(self, content.tag());
+        record_answer(self, content.tag());
         true
     }
 
-    /// What is held against contents, for operators: one JSON object a line.
-    pub(crate) fn quarantined(&self) -> String {
+    /// Contents with recorded terminations, for operators: one JSON object per line.
+    pub(crate) fn quarantine_listing(&self) -> String {
         let now = self.now();
         let state = self.state.borrow();
         let entries = state.quarantine.entries(now);
@@ -142,32 +144,32 @@
         lines.concat()
     }
 
-    /// Whether it is known which contents the store keeps.
+    /// Whether the records in the store are known.
     #[must_use]
     pub fn knows_quarantine(&self) -> bool {
         self.state.borrow().quarantine_known
     }
 
-    /// The next entry that the store is to keep, or to drop if no target is charged to it.
-    pub async fn next_unwritten(&self) -> Entry {
-        let mut unwritten = self.unwritten.receiver.lock().await;
-        match unwritten.recv().await {
+    /// The next entry to be written to the store, or to be deleted if it has no terminations.
+    pub async fn next_quarantine_write(&self) -> Entry {
+        let mut quarantine_writes = self.quarantine_writes.receiver.lock().await;
+        match quarantine_writes.recv().await {
             Some(entry) => entry,
             // The sender lives as long as the router.
             None => std::future::pending().await,
         }
     }
 
-    /// What the store is to be told again, if it keeps `stored`.
+    /// Entries that are missing from the store, which holds `stored`.
     #[must_use]
-    pub fn unkept_quarantine(&self, stored: &[Entry]) -> Vec<Entry> {
+    pub fn missing_quarantine(&self, stored: &[Entry]) -> Vec<Entry> {
         let state = self.state.borrow();
         state.quarantine.missing_from(stored, self.now())
     }
 
-    /// What may be done with a content.
+    /// Restrictions on sending a content.
     #[must_use]
-    pub(crate) fn standing_of(&self, content: Digest) -> Status {
+    pub(crate) fn content_status(&self, content: Digest) -> Status {
         let state = self.state.borrow();
         state.quarantine.status(content, self.now())
     }
--- /dev/null
+++ b/crates/path/src/shutdown.rs
@@ -0,0 +1,78 @@
+//! Signal handling and graceful shutdown.
+//!
+//! On SIGTERM a router reports that it is not ready and goes on serving: clients keep their
+//! connections, but each answer asks them to close. Once the platform has had time for two
+//! readiness checks, idle connections are closed. The process exits when no connections are left,
+//! or shortly before the platform would kill it.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::signal::unix::{SignalKind, signal};
+
+use crate::node::Node;
+
+/// Time after which the platform sends no more clients: two readiness checks, one second apart.
+const UNREADY_DELAY: Duration = Duration::from_millis(2_600);
+
+/// How long before the platform's kill the process exits.
+const KILL_MARGIN: Duration = Duration::from_millis(300);
+
+/// How long before the platform's kill requests begin to be refused.
+const REFUSAL_MARGIN: Duration = Duration::from_millis(1_800);
+
+/// Interval between checks for the end of the drain.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Whether the router will exit too soon to accept a new request.
+#[must_use]
+pub fn refuses_requests(node: &Node, streams: bool) -> bool {
+    let Some(leaving_since) = node.leaving_since() else {
+        return false;
+    };
+    let refuse_after = if streams {
+        UNREADY_DELAY
+    } else {
+        node.settings.grace.saturating_sub(REFUSAL_MARGIN)
+    };
+    node.now() >= leaving_since + refuse_after
+}
+
+/// Returns once idle connections should be closed.
+pub async fn idle_close(node: &Rc<Node>) {
+    let mut leaving = node.watch_leaving();
+    // The sender lives as long as the node.
+    drop(leaving.wait_for(Option::is_some).await);
+    let leaving_since = node.leaving_since().unwrap_or_default();
+    node.sleep_until(leaving_since + UNREADY_DELAY).await;
+}
+
+/// Waits for SIGTERM or SIGINT, then until the router may exit.
+///
+/// # Errors
+///
+/// If signal handlers cannot be installed.
+pub async fn run(node: &Rc<Node>) -> std::io::Result<()> {
+    let mut terminate = signal(SignalKind::terminate())?;
+    let mut interrupt = signal(SignalKind::interrupt())?;
+    let mut reload = signal(SignalKind::hangup())?;
+    loop {
+        tokio::select! {
+            _ = terminate.recv() => break,
+            _ = interrupt.recv() => break,
+            _ = reload.recv() => {
+                drop(node.journal.line("reloaded").with("changed", false));
+            }
+        }
+    }
+    drop(node.journal.line("stopping").with("open", node.open.get()));
+    node.leave();
+    let leaving_since = node.leaving_since().unwrap_or_default();
+    let exit_at = leaving_since + node.settings.grace.saturating_sub(KILL_MARGIN);
+    node.sleep_until(leaving_since + UNREADY_DELAY).await;
+    while node.now() < exit_at && node.open.get() > 0 {
+        tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
+    }
+    drop(node.journal.line("stopped").with("cut", node.open.get()));
+    Ok(())
+}
--- a/crates/router/src/driver/mod.rs
+++ b/crates/router/src/driver/mod.rs
@@ -129,7 +129,7 @@
         let begun = Instant::now();
         self.kernel.step(now, event, &mut self.actions);
         self.tools.metrics.stepped(begun.elapsed());
-        let (moved, dropped) = (self.kernel.holder().moved, self.kernel.dropped());
+        let (moved, dropped) = (self.kernel.holder().counts, self.kernel.dropped());
         self.tools.metrics.kernel(moved, dropped);
         let actions = std::mem::take(&mut self.actions);
         for action in actions {
@@ -142,7 +142,7 @@
     fn note(&mut self, event: &Event) {
         match event {
             Event::Configured(table) => self.table = Some(Arc::clone(table)),
-            Event::Left(request) => {
+            Event::CallerLeft(request) => {
                 self.record_of(*request, Deed::Left);
                 self.count_left(*request);
             }
@@ -189,7 +189,7 @@
         let call = &end.call;
         let (request, attempt) = (call.request, end.attempt);
         let (failure, units) = match end.report.outcome {
-            Outcome::Whole { units } => (None, units),
+            Outcome::Completed { units } => (None, units),
             Outcome::Failed { failure, units, .. } => (Some(failure), units),
         };
         self.tools.metrics.ended(&end.target, failure);
@@ -211,7 +211,7 @@
         if end.report.left {
             self.record_of(request, Deed::Left);
             self.count_left(request);
-            self.step(Event::Left(request));
+            self.step(Event::CallerLeft(request));
         }
         self.step(Event::Ended {
             request,
