--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -224,7 +224,8 @@
                 lease.record_not_run();
                 return Err(Failure::new(Verdict::NotSent, "connection_closed"));
             }
-            close_idle_if_reused(node, lease, &connection); // That a target closed an idle connection at this moment says nothing about its health.
+            close_idle_if_reused(node, lease, &connection);
+            // That a target closed an idle connection at this moment says nothing about its health.
             if !connection.used || node.now() > sent_at + IDLE_CLOSE_WINDOW {
                 lease.record_outcome(Outcome::Bad);
             }
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -125,7 +125,8 @@
     async fn request_from(self: &Rc<Self>, owner: SocketAddr, wish: &PlaceRequest) -> Outcome {
         let mut query = Query::new(self, owner);
         let round_trip = self.round_trip_to(owner);
-        let time = answer_timeout(wish, round_trip); // The round trip does not count as time spent waiting for capacity.
+        let time = answer_timeout(wish, round_trip);
+        // The round trip does not count as time spent waiting for capacity.
         let until = wish.deadline + round_trip.mean.min(max_round_trip(wish));
         let mut unanswered = 0;
         let mut last_wait = None;
--- a/crates/path/src/state/placement.rs
+++ b/crates/path/src/state/placement.rs
@@ -51,9 +51,11 @@
         if let Some(grant) = self.grants.find(RequestId { peer, number }) {
             return Content::Grant(grant);
         }
-        let known = self.queue.iter().any(|it| it.origin.matches(peer, number)); // A blocked content is not queued here: its router repeats the request.
+        let known = self.queue.iter().any(|it| it.origin.matches(peer, number));
+        // A blocked content is not queued here: its router repeats the request.
         if !known && !self.is_blocked(&wish, now) {
-            wish.is_retry |= self.is_retry(&wish, now); // Computed before the demand is recorded: the request itself is no sign of contention
+            wish.is_retry |= self.is_retry(&wish, now);
+            // Computed before the demand is recorded: the request itself is no sign of contention
             // until it has found no room.
             let cover = self.share_ratio(&wish, now);
             self.record_demand(&wish, now);
@@ -156,7 +158,8 @@
             waited: now.saturating_sub(request.arrived),
             allow_miss: now
                 >= request.arrived + request.objective.mul_f64(settings.queue_policy.miss_delay),
-            capacity_share: self.capacity_share(settings, request, share_ratio), // A customer far below its share may recompute prefixes more, as others may use all
+            capacity_share: self.capacity_share(settings, request, share_ratio),
+            // A customer far below its share may recompute prefixes more, as others may use all
             // room at the targets that cache its prefixes.
             miss_capacity_scale: share_ratio.max(1.0),
             tie_breaker: request.tie_breaker,
@@ -174,7 +177,8 @@
             (false, _) => 1.0,
             // Squared, because the customer with the most requests gets most of the remaining room
             // at full targets.
-            (true, false) => queue.over_share_capacity * share_ratio * share_ratio, // Beyond a share, retries get only a part of this room, so that first attempts, which
+            (true, false) => queue.over_share_capacity * share_ratio * share_ratio,
+            // Beyond a share, retries get only a part of this room, so that first attempts, which
             // can still be answered in time, get the rest. With the same room for both, 36 % of
             // the requests that ran for a flooding customer were late before they began, and all
             // clients got 0.859 of the worth that they asked for; with a fifth of the room for
