--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -3,7 +3,7 @@
 //! The bound applies to all routers together: over any window, the sends beyond the first stay
 //! below a ratio of the requests plus a fixed slack. Each router keeps to its own part: the ratio
 //! of its own requests, and an equal part of the slack. The sum of the parts is less than the
-//! whole, so the bound needs no coordination between routers. [`SPENT_FRACTION`] leaves room for
+//! whole, so the bound needs no coordination between routers. `SPENT_FRACTION` leaves room for
 //! windows that begin in the middle of the window of a router, and for routers that restart with
 //! empty counts.
 
--- a/crates/dispatch/src/cache.rs
+++ b/crates/dispatch/src/cache.rs
@@ -2,7 +2,7 @@
 //!
 //! An engine numbers the changes of its prefix cache and returns them on request. The answers are
 //! delayed, some changes are missing, and an engine that restarts has an empty cache and a new
-//! numbering. A [`Cache`] therefore combines the last reported content with the prompts sent since,
+//! numbering. A `Cache` therefore combines the last reported content with the prompts sent since,
 //! which are prefilled before any later prompt because engines prefill in order of arrival.
 //!
 //! Invariants: content reported before a restart is discarded; after a gap the content is unknown
--- a/crates/dispatch/src/inflight.rs
+++ b/crates/dispatch/src/inflight.rs
@@ -78,7 +78,7 @@
         there.map(|(content, _)| *content)
     }
 
-    /// Removes contents whose last run began more than [`RUN_RETENTION`] ago.
+    /// Removes contents whose last run began more than `RUN_RETENTION` ago.
     pub fn prune(&mut self, now: Duration) {
         self.running.retain(|_, it| it.at + RUN_RETENTION > now);
     }
--- a/crates/dispatch/src/interruptions.rs
+++ b/crates/dispatch/src/interruptions.rs
@@ -93,7 +93,7 @@
         resolved.collect()
     }
 
-    /// Findings to be sent once more. Removes those that were sent [`MAX_SENDS`] times, unless they
+    /// Findings to be sent once more. Removes those that were sent `MAX_SENDS` times, unless they
     /// are open and within [`OPEN_TIMEOUT`].
     pub fn next_repeats(&mut self, now: Duration) -> Vec<Report> {
         self.runs.retain(|it| {
--- a/crates/dispatch/src/membership/mod.rs
+++ b/crates/dispatch/src/membership/mod.rs
@@ -151,7 +151,7 @@
         self.broadcasts.push(self.own.clone());
     }
 
-    /// Whether no packet has arrived for [`ISOLATION_INTERVALS`]: this router is cut off, or all
+    /// Whether no packet has arrived for `ISOLATION_INTERVALS`: this router is cut off, or all
     /// others have ended.
     #[must_use]
     pub fn is_isolated(&self, now: Duration) -> bool {
--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -1,6 +1,6 @@
 //! Target selection for requests.
 //!
-//! Plain targets are selected here by slot utilization, model engines in [`engine`] by estimated
+//! Plain targets are selected here by slot utilization, model engines in `engine` by estimated
 //! prefill work.
 
 mod engine;
--- a/crates/dispatch/src/prefix.rs
+++ b/crates/dispatch/src/prefix.rs
@@ -173,7 +173,7 @@
         self.recent.push_back((now, used));
     }
 
-    /// Records that a prefix was sent to a target, such as by a peer; ignored while [`MAX_USES`]
+    /// Records that a prefix was sent to a target, such as by a peer; ignored while `MAX_USES`
     /// unexpired uses are stored.
     pub fn record_use(&mut self, used: Use, now: Duration) {
         if self.uses.len() >= MAX_USES {
--- a/crates/path/src/event.rs
+++ b/crates/path/src/event.rs
@@ -27,7 +27,7 @@
     }
 
     /// Appends bytes; returns the complete events, if any, or a part of an event that exceeds
-    /// [`MAX_EVENT_BYTES`].
+    /// `MAX_EVENT_BYTES`.
     pub fn push(&mut self, bytes: Bytes) -> Option<Bytes> {
         let events = if self.rest.is_empty() && ends_event(&bytes) {
             bytes
